--- a/src/api.c
+++ b/src/api.c
@@ -1,11 +1,11 @@
 #include "api.h"
 #include "clock.h"
 #include "constants.h"
-#include "ledger.h"
+#include "job.h"
 #include "log.h"
-#include "part.h"
-#include "place.h"
-#include "view.h"
+#include "shard.h"
+#include "placement.h"
+#include "job-view.h"
 #include <math.h>
 #include <string.h>
 
@@ -22,13 +22,13 @@
   guint pending;      /* requests that wait for the state service */
   guint polls;        /* of them */
   guint crowd;        /* polls that wait for a request they share */
-  KrView *view;
+  KrJobView *view;
   GHashTable *polled; /* id -> GPtrArray of KrRequest: a poll of it is under way, these come next */
 };
 
 /* One user's request on its way. */
 typedef struct Visit Visit;
-typedef void (*Found) (Visit *v, gboolean known, KrItem *item);
+typedef void (*Found) (Visit *v, gboolean known, KrKeyValue *item);
 struct Visit {
   KrApi *api;
   KrRequest *request;
@@ -41,8 +41,8 @@
   gboolean ended_key; /* looking below end/ now */
   guint tries;        /* to have a cancellation committed under, or confirmed by, the owner */
   /* of a job that is cancelled and not over: */
-  guint part, done;
-  guint64 owner, revision; /* see kr_part_cancel */
+  guint shard, done;
+  guint64 owner, revision; /* see kr_shard_cancel_job */
 };
 
 KrApi *
@@ -50,11 +50,11 @@
 {
   KrApi *api = g_new0 (KrApi, 1);
   api->node = node;
-  api->cancel = kr_cancellable_child (node->cancel);
+  api->cancel = kr_cancellable_new_child (node->cancel);
   api->finals = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
   g_queue_init (&api->order);
   api->polled = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
-  api->view = kr_view_new (node->state, api->cancel);
+  api->view = kr_job_view_new (node->state_client, api->cancel);
   return api;
 }
 
@@ -62,7 +62,7 @@
 kr_api_free (KrApi *api)
 {
   g_cancellable_cancel (api->cancel);
-  kr_view_free (api->view);
+  kr_job_view_free (api->view);
 }
 
 static void
@@ -70,7 +70,7 @@
 {
   if (g_hash_table_contains (api->finals, id))
     return;
-  if (api->order.length >= KR_FINAL_CACHE) {
+  if (api->order.length >= KR_FINAL_CACHE_JOBS) {
     g_autofree char *oldest = g_queue_pop_head (&api->order);
     g_hash_table_remove (api->finals, oldest);
   }
@@ -136,7 +136,7 @@
 static gboolean
 too_late (Visit *request)
 {
-  return kr_now () > request->deadline + KR_USER_LATE_MS * G_GINT64_CONSTANT (1000);
+  return kr_now () > request->deadline + KR_USER_STALE_MS * G_GINT64_CONSTANT (1000);
 }
 
 static guint
@@ -151,21 +151,21 @@
 static void look_at_end (Visit *request);
 
 /* However many ask, submissions and cancellations do not wait behind them. */
-static KrTurn
+static KrQueueClass
 turn_of (const Visit *request)
 {
-  return request->route == KR_ROUTE_POLL ? KR_LAST : KR_NORMAL;
+  return request->route == KR_ROUTE_POLL ? KR_QUEUE_LOW : KR_QUEUE_NORMAL;
 }
 
 static void
 looked (guint status, json_t *body, gpointer data)
 {
   Visit *request = data;
-  KrItem item;
+  KrKeyValue item;
 
   if (too_late (request))
     cannot_know (request);
-  else if (status == 200 && kr_wire_item_parse (body, &item))
+  else if (status == 200 && kr_wire_key_value_parse (body, &item))
     request->found (request, TRUE, &item);
   else if (status == 404 && !request->ended_key)
     look_at_end (request);
@@ -178,9 +178,9 @@
 static void
 look_at_end (Visit *request)
 {
-  g_autofree char *key = kr_job_end_key (request->id);
+  g_autofree char *key = kr_job_final_key (request->id);
   request->ended_key = TRUE;
-  kr_state_get (request->api->node->state, key, turn_of (request),
+  kr_state_get (request->api->node->state_client, key, turn_of (request),
                 left_ms (request, KR_STATE_TIMEOUT_MS), request->api->cancel, looked, request);
 }
 
@@ -192,7 +192,7 @@
     count (request);
   request->found = found;
   request->ended_key = FALSE;
-  kr_state_get (request->api->node->state, key, turn_of (request),
+  kr_state_get (request->api->node->state_client, key, turn_of (request),
                 left_ms (request, KR_STATE_TIMEOUT_MS), request->api->cancel, looked, request);
 }
 
@@ -220,32 +220,32 @@
 static void
 try_again (Visit *request, GSourceFunc how)
 {
-  if (++request->tries >= KR_CONFIRM_TRIES ||
-      left_ms (request, KR_CONFIRM_TIMEOUT_MS) <= KR_CONFIRM_PAUSE_MS)
+  if (++request->tries >= KR_CANCEL_CONFIRM_TRIES ||
+      left_ms (request, KR_CANCEL_CONFIRM_TIMEOUT_MS) <= KR_CANCEL_CONFIRM_RETRY_MS)
     not_yet (request);
   else
-    kr_timer_add (KR_CONFIRM_PAUSE_MS, how, request);
+    kr_timer_add (KR_CANCEL_CONFIRM_RETRY_MS, how, request);
 }
 
 static void
-said (Visit *request, KrCancelWord word)
+said (Visit *request, KrCancelStatus word)
 {
   switch (word) {
-  case KR_CANCEL_SURE:
+  case KR_CANCEL_CONFIRMED:
     remember (request->api, request->id, KR_JOB_CANCELLED, request->done);
     answer (request, 200,
             kr_wire_job_answer (request->id, KR_JOB_CANCELLED, request->route == KR_ROUTE_POLL,
                                 request->done, 0),
             0);
     break;
-  case KR_CANCEL_SOON:
+  case KR_CANCEL_PENDING:
     try_again (request, confirm_again);
     break;
-  case KR_CANCEL_UNKNOWN: /* it may have ended meanwhile */
+  case KR_CANCEL_NO_SUCH_JOB: /* it may have ended meanwhile */
     try_again (request, look_again);
     break;
   case KR_CANCEL_NOT_OWNER:
-  case KR_CANCEL_SILENT:
+  case KR_CANCEL_NO_ANSWER:
     not_yet (request);
     break;
   }
@@ -254,41 +254,41 @@
 static void
 owner_said (guint status, json_t *body, gpointer data)
 {
-  said (data, kr_cancel_word (status));
+  said (data, kr_cancel_status_from_http (status));
 }
 
 /* The owner that our view names need not be the newest: any that took its key with the revision
- * named in the cancellation, or after it, has what it takes (see kr_part_cancel). */
+ * named in the cancellation, or after it, has what it takes (see kr_shard_cancel_job). */
 static void
 confirm (Visit *request)
 {
   KrNode *node = request->api->node;
-  const KrHolder *holder = request->part < node->settings->size
-                               ? kr_membership_holder (node->membership, request->part)
+  const KrHolder *holder = request->shard < node->settings->shard_count
+                               ? kr_membership_holder (node->membership, request->shard)
                                : NULL;
   const KrPeerSettings *peer =
       holder && holder->node ? kr_settings_peer (node->settings, holder->node) : NULL;
 
-  if (holder && node->parts[request->part])
-    said (request, kr_part_cancel (node->parts[request->part], request->id, request->owner,
-                                   request->revision));
+  if (holder && node->shards[request->shard])
+    said (request, kr_shard_cancel_job (node->shards[request->shard], request->id, request->owner,
+                                        request->revision));
   else if (!peer)
     not_yet (request);
   else
-    kr_client_call (
-        node->peers, "POST", peer->addr, KR_PEER_CANCELLATIONS,
-        kr_cancel_question (request->part, request->id, request->owner, request->revision),
-        left_ms (request, KR_CONFIRM_TIMEOUT_MS), request->api->cancel, owner_said, request);
+    kr_http_client_call (
+        node->peer_client, "POST", peer->addr, KR_PEER_CANCELLATIONS,
+        kr_cancel_request_new (request->shard, request->id, request->owner, request->revision),
+        left_ms (request, KR_CANCEL_CONFIRM_TIMEOUT_MS), request->api->cancel, owner_said, request);
 }
 
 /* Tells what is stored of a job. */
 static void
-answer_job (Visit *request, const KrViewJob *view_job)
+answer_job (Visit *request, const KrStoredJob *view_job)
 {
   KrJobState state = view_job->state;
   guint done = view_job->done, running = view_job->running;
   if (view_job->cancelled) {
-    request->part = view_job->part;
+    request->shard = view_job->shard;
     request->owner = view_job->owner;
     request->revision = view_job->revision;
     request->done = done;
@@ -298,9 +298,9 @@
   if (state == KR_JOB_DONE || state == KR_JOB_CANCELLED)
     remember (request->api, request->id, state, done);
   else
-    for (guint p = 0; p < request->api->node->settings->size; p++)
-      if (request->api->node->parts[p] &&
-          kr_part_counts (request->api->node->parts[p], request->id, &done, &running))
+    for (guint p = 0; p < request->api->node->settings->shard_count; p++)
+      if (request->api->node->shards[p] &&
+          kr_shard_job_counts (request->api->node->shards[p], request->id, &done, &running))
         state = running ? KR_JOB_RUNNING : KR_JOB_PENDING;
   answer (request, 200,
           kr_wire_job_answer (request->id, state, request->route == KR_ROUTE_POLL, done, running),
@@ -308,10 +308,10 @@
 }
 
 static void
-answer_value (Visit *request, const KrItem *item)
+answer_value (Visit *request, const KrKeyValue *item)
 {
-  KrViewJob j;
-  if (kr_view_job_parse (&j, item))
+  KrStoredJob j;
+  if (kr_stored_job_parse (&j, item))
     answer_job (request, &j);
   else
     cannot_know (request);
@@ -339,15 +339,15 @@
 too_busy (KrApi *api, KrRoute route)
 {
   /* As many as the state service answers within the time that a user waits. */
-  double most =
-      MAX (KR_API_PENDING_MIN, kr_state_request_rate (api->node->state) * KR_USER_READ_MS / 1000.0);
+  double most = MAX (KR_API_PENDING_MIN, kr_state_request_rate (api->node->state_client) *
+                                             KR_USER_READ_DEADLINE_MS / 1000.0);
   return route == KR_ROUTE_POLL ? api->polls >= most * KR_API_POLL_SHARE
                                 : api->pending - api->polls >= most;
 }
 
 /* --- poll ---------------------------------------------------------------------------- */
 static void
-poll_found (Visit *request, gboolean known, KrItem *item)
+poll_found (Visit *request, gboolean known, KrKeyValue *item)
 {
   if (!known)
     cannot_know (request);
@@ -373,7 +373,7 @@
 view_synced (gboolean known, gpointer data)
 {
   Visit *request = data;
-  const KrViewJob *view_job = kr_view_find (request->api->view, request->id);
+  const KrStoredJob *view_job = kr_job_view_find (request->api->view, request->id);
   request->api->crowd--;
   if (!known || too_late (request))
     cannot_know (request);
@@ -387,10 +387,10 @@
 static gboolean
 start_poll (KrApi *api, KrRequest *request, GPtrArray *others, const char *id)
 {
-  gboolean alone = api->polls < KR_API_CROWD && api->crowd == 0;
-  if (!alone && api->crowd >= KR_API_CROWD_MAX)
+  gboolean alone = api->polls < KR_API_DIRECT_POLLS && api->crowd == 0;
+  if (!alone && api->crowd >= KR_API_SHARED_POLLS_MAX)
     return FALSE;
-  Visit *visit = visit_new (api, request, KR_ROUTE_POLL, id, KR_USER_READ_MS);
+  Visit *visit = visit_new (api, request, KR_ROUTE_POLL, id, KR_USER_READ_DEADLINE_MS);
   visit->others = others;
   visit->found = poll_found;
   g_hash_table_insert (api->polled, g_strdup (id), g_ptr_array_new ());
@@ -398,7 +398,7 @@
     look (visit, poll_found);
   else {
     api->crowd++;
-    kr_view_sync (api->view, view_synced, visit);
+    kr_job_view_sync (api->view, view_synced, visit);
   }
   return TRUE;
 }
@@ -438,7 +438,7 @@
 
 /* --- submit -------------------------------------------------------------------------- */
 static void
-submit_found (Visit *request, gboolean known, KrItem *item)
+submit_found (Visit *request, gboolean known, KrKeyValue *item)
 {
   /* Absent after a write with unknown outcome: it may still be applied, so not "no". */
   if (!known || !item)
@@ -460,17 +460,17 @@
 }
 
 static const char *
-never (KrApi *api, const KrSpec *spec)
+never (KrApi *api, const KrJobSpec *spec)
 {
   const KrTeam *team = kr_settings_team (api->node->settings, spec->team);
   gboolean fits = FALSE;
   if (!team)
     return "unknown team";
-  for (guint i = 0; i < api->node->types->len; i++)
-    fits |= kr_place_fits_type (spec, api->node->types->pdata[i]);
+  for (guint i = 0; i < api->node->machine_types->len; i++)
+    fits |= kr_placement_fits_type (spec, api->node->machine_types->pdata[i]);
   if (!fits)
     return "a task fits no allowed machine type";
-  if (!kr_place_job_ok (team, spec))
+  if (!kr_placement_job_within_quota (team, spec))
     return "the job needs more than the team's limit";
   return NULL;
 }
@@ -479,50 +479,51 @@
 kr_api_submit (KrApi *api, KrRequest *request)
 {
   g_autoptr (GError) error = NULL;
-  g_autoptr (KrSpec) spec = kr_wire_spec_parse (kr_request_json (request), &error);
+  g_autoptr (KrJobSpec) spec = kr_wire_spec_parse (kr_request_json (request), &error);
   const char *why;
-  KrState *state = api->node->state;
+  KrStateClient *state = api->node->state_client;
 
   if (!spec)
     kr_request_reply (request, 400, kr_wire_error (error->message), 0);
   else if (answer_from_cache (api, request, spec->id, FALSE))
     return;
-  else if (!api->node->types)
+  else if (!api->node->machine_types)
     kr_request_reply (request, 503, kr_wire_error ("machine types are not yet known"),
                       KR_RETRY_AFTER_S);
   else if ((why = never (api, spec)))
     kr_request_reply (request, 422, kr_wire_error (why), 0);
   else if (too_busy (api, KR_ROUTE_SUBMIT))
     refuse (request);
-  else if (kr_state_write_wait (state) > KR_USER_WAIT_S)
+  else if (kr_state_write_wait (state) > KR_USER_WRITE_WAIT_MAX_S)
     kr_request_reply (request, 429, kr_wire_error ("too many writes"),
                       (guint) ceil (kr_state_write_wait (state)));
   else {
-    Visit *visit = visit_new (api, request, KR_ROUTE_SUBMIT, spec->id, KR_USER_WRITE_MS);
-    g_autofree char *key = kr_job_key (spec->id), *end = kr_job_end_key (spec->id);
+    Visit *visit = visit_new (api, request, KR_ROUTE_SUBMIT, spec->id, KR_USER_WRITE_DEADLINE_MS);
+    g_autofree char *key = kr_job_key (spec->id), *end = kr_job_final_key (spec->id);
     KrTxn *txn = kr_txn_new ();
-    guint part = kr_settings_part_of_team (api->node->settings, spec->team);
-    g_autoptr (KrJob) j = kr_job_new (g_steal_pointer (&spec), kr_time_of_day (), part);
-    kr_txn_when (txn, key, 0);
-    kr_txn_when (txn, end, 0);
+    guint shard = kr_settings_shard_of_team (api->node->settings, spec->team);
+    g_autoptr (KrJob) j = kr_job_new (g_steal_pointer (&spec), kr_wall_clock_s (), shard);
+    kr_txn_expect_revision (txn, key, 0);
+    kr_txn_expect_revision (txn, end, 0);
     kr_txn_put (txn, key, kr_job_encode (j, j->done, 0), 0);
     count (visit);
-    kr_state_commit (state, txn, KR_NORMAL, KR_STATE_TIMEOUT_MS, api->cancel, submitted, visit);
+    kr_state_commit (state, txn, KR_QUEUE_NORMAL, KR_STATE_TIMEOUT_MS, api->cancel, submitted,
+                     visit);
   }
 }
 
 /* --- abort --------------------------------------------------------------------------- */
-static void abort_found (Visit *request, gboolean known, KrItem *item);
+static void abort_found (Visit *request, gboolean known, KrKeyValue *item);
 
 static void
 aborted (guint status, json_t *body, gpointer data)
 {
   Visit *request = data;
-  g_autofree char *owner_key = kr_membership_owner_key (request->part);
+  g_autofree char *owner_key = kr_membership_owner_key (request->shard);
   if (status == 200) {
     request->revision = kr_wire_revision (body);
     confirm (request);
-  } else if (status == 409 && kr_wire_failed_has (body, owner_key))
+  } else if (status == 409 && kr_wire_commit_failed_on (body, owner_key))
     try_again (request, look_again); /* the watch shows the new owner within a round */
   else if ((status == 409 || status == 0) && kr_now () < request->deadline)
     look (request, abort_found);
@@ -531,7 +532,7 @@
 }
 
 static void
-abort_found (Visit *request, gboolean known, KrItem *item)
+abort_found (Visit *request, gboolean known, KrKeyValue *item)
 {
   KrJobState state;
   guint running;
@@ -540,20 +541,22 @@
     cannot_know (request);
   else if (!item)
     answer (request, 404, kr_wire_error ("no such job"), 0);
-  else if (!kr_job_peek (item->value, &state, &request->done, &running) || state >= KR_JOB_DONE ||
-           (request->part = kr_job_peek_part (item->value)) >= request->api->node->settings->size)
+  else if (!kr_job_parse_status (item->value, &state, &request->done, &running) ||
+           state >= KR_JOB_DONE ||
+           (request->shard = kr_job_parse_shard (item->value)) >=
+               request->api->node->settings->shard_count)
     answer_value (request, item);
   else {
     /* Under the owner that we are going to ask: whoever comes after it reads the cancellation. */
-    const KrHolder *holder = kr_membership_holder (request->api->node->membership, request->part);
+    const KrHolder *holder = kr_membership_holder (request->api->node->membership, request->shard);
     g_autofree char *key = kr_job_key (request->id),
-                    *owner_key = kr_membership_owner_key (request->part);
+                    *owner_key = kr_membership_owner_key (request->shard);
     KrTxn *txn = kr_txn_new ();
     request->owner = holder->node ? holder->revision : 0;
-    kr_txn_when (txn, key, item->revision);
-    kr_txn_when (txn, owner_key, request->owner);
+    kr_txn_expect_revision (txn, key, item->revision);
+    kr_txn_expect_revision (txn, owner_key, request->owner);
     kr_txn_put (txn, key, kr_job_cancel_value (item->value, request->owner), 0);
-    kr_state_commit (request->api->node->state, txn, KR_FIRST,
+    kr_state_commit (request->api->node->state_client, txn, KR_QUEUE_HIGH,
                      left_ms (request, KR_STATE_TIMEOUT_MS), request->api->cancel, aborted,
                      request);
   }
@@ -569,5 +572,5 @@
   else if (too_busy (api, KR_ROUTE_ABORT))
     refuse (request);
   else
-    look (visit_new (api, request, KR_ROUTE_ABORT, id, KR_USER_WRITE_MS), abort_found);
+    look (visit_new (api, request, KR_ROUTE_ABORT, id, KR_USER_WRITE_DEADLINE_MS), abort_found);
 }
--- a/src/budget.c
+++ b/src/budget.c
@@ -5,7 +5,7 @@
 static double
 needed (double base, double backlog)
 {
-  return backlog < 0 ? base : CLAMP (backlog, base * KR_BUDGET_KEEP, base);
+  return backlog < 0 ? base : CLAMP (backlog, base * KR_BUDGET_KEEP_SHARE, base);
 }
 
 /* What does not pass by itself within a few seconds: a burst of that length is nobody's to pay for
@@ -13,7 +13,7 @@
 static double
 beyond (double base, double backlog)
 {
-  return backlog > base * KR_BUDGET_LATE_S ? backlog - base : 0;
+  return backlog > base * KR_BUDGET_BACKLOG_S ? backlog - base : 0;
 }
 
 gboolean
--- a/src/clock.c
+++ b/src/clock.c
@@ -7,7 +7,7 @@
 }
 
 double
-kr_time_of_day (void)
+kr_wall_clock_s (void)
 {
   return (double) g_get_real_time () / G_USEC_PER_SEC;
 }
@@ -64,7 +64,7 @@
 }
 
 void
-kr_stall_watch (guint ms, GSourceFunc func, gpointer data)
+kr_stall_detector_add (guint ms, GSourceFunc func, gpointer data)
 {
   static GSourceFuncs funcs = { stall_prepare, stall_check, stall_dispatch, NULL, NULL, NULL };
   Stall *s = (Stall *) g_source_new (&funcs, sizeof *s);
--- a/src/cloud.c
+++ b/src/cloud-client.c
@@ -1,12 +1,12 @@
-#include "cloud.h"
+#include "cloud-client.h"
 #include "clock.h"
 #include "constants.h"
-#include "flow.h"
+#include "rate-limiter.h"
 
-struct KrCloud {
-  KrClient *client;
+struct KrCloudClient {
+  KrHttpClient *client;
   char *host;
-  KrBucket *requests;
+  KrRateLimiter *requests;
   double rps;    /* of all nodes together */
   GQueue doomed; /* Doomed: to be deleted */
   gboolean deleting;
@@ -14,44 +14,44 @@
 };
 
 typedef struct {
-  KrCloud *cloud;
+  KrCloudClient *cloud;
   const char *method;
   char *path;
   json_t *body;
   GCancellable *cancel;
-  KrReply reply;
+  KrHttpResponseFunc reply;
   gpointer data;
 } Op;
 
 static void doomed_free (gpointer p);
 
-KrCloud *
+KrCloudClient *
 kr_cloud_new (const KrSettings *settings)
 {
-  KrCloud *cloud = g_new0 (KrCloud, 1);
-  cloud->client = kr_client_new (KR_CLOUD_CONNS, KR_CLOUD_CONNS, KR_CLIENT_IDLE_S);
+  KrCloudClient *cloud = g_new0 (KrCloudClient, 1);
+  cloud->client = kr_http_client_new (KR_CLOUD_CONNS, KR_CLOUD_CONNS, KR_CONN_IDLE_S);
   cloud->host = g_strdup (settings->cloud);
   cloud->rps = settings->cloud_rps;
-  cloud->requests = kr_bucket_new (cloud->rps / settings->size, KR_CLOUD_BURST_S);
+  cloud->requests = kr_rate_limiter_new (cloud->rps / settings->shard_count, KR_CLOUD_BURST_S);
   g_queue_init (&cloud->doomed);
   return cloud;
 }
 
 void
-kr_cloud_free (KrCloud *cloud)
+kr_cloud_free (KrCloudClient *cloud)
 {
   kr_timer_clear (&cloud->delete_soon);
   g_queue_clear_full (&cloud->doomed, doomed_free);
-  kr_client_free (cloud->client);
-  kr_bucket_free (cloud->requests);
+  kr_http_client_free (cloud->client);
+  kr_rate_limiter_free (cloud->requests);
   g_free (cloud->host);
   g_free (cloud);
 }
 
 void
-kr_cloud_set_share (KrCloud *cloud, double share)
+kr_cloud_set_rate_share (KrCloudClient *cloud, double share)
 {
-  kr_bucket_set_rate (cloud->requests, cloud->rps * share);
+  kr_rate_limiter_set_rate (cloud->requests, cloud->rps * share);
 }
 
 static void
@@ -70,40 +70,43 @@
 {
   Op *op = data;
   if (granted)
-    kr_client_call (op->cloud->client, op->method, op->cloud->host, op->path,
-                    g_steal_pointer (&op->body), KR_CLOUD_TIMEOUT_MS, op->cancel, op_done, op);
+    kr_http_client_call (op->cloud->client, op->method, op->cloud->host, op->path,
+                         g_steal_pointer (&op->body), KR_CLOUD_TIMEOUT_MS, op->cancel, op_done, op);
   else
     op_done (429, NULL, op);
 }
 
 static void
-start (KrCloud *cloud, const char *method, char *path, json_t *body, KrTurn turn,
-       GCancellable *cancel, KrReply reply, gpointer data)
+start (KrCloudClient *cloud, const char *method, char *path, json_t *body, KrQueueClass turn,
+       GCancellable *cancel, KrHttpResponseFunc reply, gpointer data)
 {
   Op *op = g_new (Op, 1);
   *op = (Op){ cloud, method, path, body, cancel ? g_object_ref (cancel) : NULL, reply, data };
-  kr_bucket_take (cloud->requests, 1, turn, op_send, op);
+  kr_rate_limiter_acquire (cloud->requests, 1, turn, op_send, op);
 }
 
 void
-kr_cloud_types (KrCloud *cloud, GCancellable *cancel, KrReply reply, gpointer data)
+kr_cloud_list_types (KrCloudClient *cloud, GCancellable *cancel, KrHttpResponseFunc reply,
+                     gpointer data)
 {
-  start (cloud, "GET", g_strdup (KR_PATH_TYPES), NULL, KR_FIRST, cancel, reply, data);
+  start (cloud, "GET", g_strdup (KR_PATH_TYPES), NULL, KR_QUEUE_HIGH, cancel, reply, data);
 }
 
 void
-kr_cloud_rent (KrCloud *cloud, const char *request, const char *type, const char *zone,
-               gboolean spot, guint count, GCancellable *cancel, KrReply reply, gpointer data)
+kr_cloud_rent (KrCloudClient *cloud, const char *request, const char *type, const char *zone,
+               gboolean spot, guint count, GCancellable *cancel, KrHttpResponseFunc reply,
+               gpointer data)
 {
-  start (cloud, "POST", g_strdup (KR_PATH_RENT), kr_wire_rental (request, type, zone, spot, count),
-         KR_NORMAL, cancel, reply, data);
+  start (cloud, "POST", g_strdup (KR_PATH_RENT),
+         kr_wire_rental_request (request, type, zone, spot, count), KR_QUEUE_NORMAL, cancel, reply,
+         data);
 }
 
 /* --- deletions: what is asked for while a call waits goes out with it ----------------- */
 typedef struct {
   char *id;
   GCancellable *cancel;
-  KrReply reply;
+  KrHttpResponseFunc reply;
   gpointer data;
 } Doomed;
 
@@ -116,7 +119,7 @@
   g_free (d);
 }
 
-static void delete_more (KrCloud *cloud);
+static void delete_more (KrCloudClient *cloud);
 
 static void
 delete_done (guint status, json_t *body, gpointer data)
@@ -132,12 +135,12 @@
 static void
 delete_send (gboolean granted, gpointer data)
 {
-  KrCloud *cloud = data;
+  KrCloudClient *cloud = data;
   GPtrArray *doomed = g_ptr_array_new_with_free_func (doomed_free);
   g_autoptr (GPtrArray) ids = g_ptr_array_new ();
 
   cloud->deleting = FALSE;
-  while (doomed->len < KR_DELETE_MAX && cloud->doomed.length) {
+  while (doomed->len < KR_DELETE_BATCH_MAX && cloud->doomed.length) {
     Doomed *d = g_queue_pop_head (&cloud->doomed);
     g_ptr_array_add (doomed, d);
     if (!d->cancel || !g_cancellable_is_cancelled (d->cancel))
@@ -145,48 +148,49 @@
   }
   g_ptr_array_add (ids, NULL);
   if (granted && ids->len > 1)
-    kr_client_call (cloud->client, "POST", cloud->host, KR_PATH_DELETE,
-                    kr_wire_deletion ((char **) ids->pdata), KR_CLOUD_TIMEOUT_MS, NULL, delete_done,
-                    doomed);
+    kr_http_client_call (cloud->client, "POST", cloud->host, KR_PATH_DELETE,
+                         kr_wire_deletion_request ((char **) ids->pdata), KR_CLOUD_TIMEOUT_MS, NULL,
+                         delete_done, doomed);
   else
     delete_done (429, NULL, doomed);
   delete_more (cloud);
 }
 
 static void
-delete_more (KrCloud *cloud)
+delete_more (KrCloudClient *cloud)
 {
   if (cloud->deleting || cloud->doomed.length == 0)
     return;
   cloud->deleting = TRUE;
-  kr_bucket_take (cloud->requests, 1, KR_FIRST, delete_send, cloud);
+  kr_rate_limiter_acquire (cloud->requests, 1, KR_QUEUE_HIGH, delete_send, cloud);
 }
 
 static gboolean
 delete_now (gpointer data)
 {
-  KrCloud *cloud = data;
+  KrCloudClient *cloud = data;
   cloud->delete_soon = 0;
   delete_more (cloud);
   return G_SOURCE_REMOVE;
 }
 
 void
-kr_cloud_delete (KrCloud *cloud, const char *id, GCancellable *cancel, KrReply reply, gpointer data)
+kr_cloud_delete (KrCloudClient *cloud, const char *id, GCancellable *cancel,
+                 KrHttpResponseFunc reply, gpointer data)
 {
   Doomed *d = g_new (Doomed, 1);
   *d = (Doomed){ g_strdup (id), cancel ? g_object_ref (cancel) : NULL, reply, data };
   g_queue_push_tail (&cloud->doomed, d);
   if (!cloud->delete_soon) /* what is asked for at one moment goes out together */
-    cloud->delete_soon = kr_timer_add (KR_DELETE_GATHER_MS, delete_now, cloud);
+    cloud->delete_soon = kr_timer_add (KR_DELETE_BATCH_DELAY_MS, delete_now, cloud);
 }
 
 /* --- the list, page by page ---------------------------------------------------------- */
 typedef struct {
-  KrCloud *cloud;
+  KrCloudClient *cloud;
   GPtrArray *machines;
   GCancellable *cancel;
-  KrCloudListed listed;
+  KrCloudListFunc listed;
   gpointer data;
 } Listing;
 
@@ -196,7 +200,8 @@
 page_done (guint status, json_t *body, gpointer data)
 {
   Listing *l = data;
-  gboolean more = FALSE, ok = status == 200 && kr_wire_list_parse (body, l->machines, &more);
+  gboolean more = FALSE,
+           ok = status == 200 && kr_wire_machine_list_parse (body, l->machines, &more);
 
   if (ok && more && l->machines->len) {
     next_page (l);
@@ -213,12 +218,13 @@
 {
   const char *after =
       l->machines->len ? ((KrListedMachine *) l->machines->pdata[l->machines->len - 1])->id : NULL;
-  start (l->cloud, "GET", kr_wire_list_path (after, KR_LIST_PAGE), NULL, KR_NORMAL, l->cancel,
-         page_done, l);
+  start (l->cloud, "GET", kr_wire_machine_list_path (after, KR_MACHINE_LIST_PAGE), NULL,
+         KR_QUEUE_NORMAL, l->cancel, page_done, l);
 }
 
 void
-kr_cloud_list (KrCloud *cloud, GCancellable *cancel, KrCloudListed listed, gpointer data)
+kr_cloud_list_machines (KrCloudClient *cloud, GCancellable *cancel, KrCloudListFunc listed,
+                        gpointer data)
 {
   Listing *l = g_new (Listing, 1);
   *l = (Listing){ cloud, g_ptr_array_new_with_free_func (kr_listed_machine_free),
--- a/src/detector.c
+++ b/src/failure-detector.c
@@ -1,4 +1,4 @@
-#include "detector.h"
+#include "failure-detector.h"
 #include "clock.h"
 #include "constants.h"
 #include "log.h"
@@ -21,11 +21,11 @@
 
 struct KrDetector {
   const KrSettings *settings;
-  KrState *state;
-  KrClient *client;
+  KrStateClient *state;
+  KrHttpClient *client;
   KrMembership *membership;
   GCancellable *cancel;
-  KrPeerHeard heard;
+  KrPeerSilenceFunc heard;
   gpointer data;
   Peer *peers; /* as settings->others */
   guint timer;
@@ -48,14 +48,14 @@
 {
   KrDetector *detector = peer->detector;
   peer->probed = FALSE;
-  peer->next_at = kr_now () + KR_PROBE_PAUSE_MS * G_GINT64_CONSTANT (1000);
+  peer->next_at = kr_now () + KR_PROBE_INTERVAL_MS * G_GINT64_CONSTANT (1000);
   if (!peer->probe)
     return;
   g_autofree char *key = probe_key (peer);
   KrTxn *txn = kr_txn_new ();
   kr_txn_remove (txn, key);
-  kr_state_commit (detector->state, txn, KR_FIRST, KR_STATE_TIMEOUT_MS, detector->cancel, nothing,
-                   NULL);
+  kr_state_commit (detector->state, txn, KR_QUEUE_HIGH, KR_STATE_TIMEOUT_MS, detector->cancel,
+                   nothing, NULL);
 }
 
 static void
@@ -81,7 +81,7 @@
   KrTxn *txn = kr_txn_new ();
   kr_txn_put (txn, key, json_object (), lease);
   peer->busy = TRUE;
-  kr_state_commit (detector->state, txn, KR_FIRST, KR_STATE_TIMEOUT_MS, detector->cancel,
+  kr_state_commit (detector->state, txn, KR_QUEUE_HIGH, KR_STATE_TIMEOUT_MS, detector->cancel,
                    probe_written, peer);
 }
 
@@ -110,14 +110,14 @@
   kr_info ("node %s: answers neither us nor, for %.1f s, in the state service: ending its lease",
            peer->settings->name, (double) (kr_now () - peer->probe_at) / G_USEC_PER_SEC);
   peer->busy = TRUE;
-  kr_state_end_lease (detector->state, peer->lease, detector->cancel, lease_ended, peer);
+  kr_state_revoke_lease (detector->state, peer->lease, detector->cancel, lease_ended, peer);
 }
 
 static void
 presence_read (guint status, json_t *body, gpointer data)
 {
   Peer *peer = data;
-  KrItem item;
+  KrKeyValue item;
   peer->busy = FALSE;
   if (!peer->probed)
     return;
@@ -125,7 +125,7 @@
     end_probe (peer);
     return;
   }
-  if (status != 200 || !kr_wire_item_parse (body, &item))
+  if (status != 200 || !kr_wire_key_value_parse (body, &item))
     return;
   if (item.revision > peer->probe) {
     kr_info ("node %s: answers in the state service", peer->settings->name);
@@ -133,7 +133,7 @@
     return;
   }
   peer->reads++;
-  peer->lease = kr_membership_lease_of (item.value);
+  peer->lease = kr_membership_presence_lease (item.value);
   if (!peer->lease) {
     kr_info ("node %s: its presence names no lease, waiting for that to run out",
              peer->settings->name);
@@ -149,7 +149,7 @@
   g_autofree char *key = kr_membership_presence_key (peer->settings->name);
   peer->busy = TRUE;
   peer->read_at = kr_now ();
-  kr_state_get (detector->state, key, KR_FIRST, KR_STATE_TIMEOUT_MS, detector->cancel,
+  kr_state_get (detector->state, key, KR_QUEUE_HIGH, KR_STATE_TIMEOUT_MS, detector->cancel,
                 presence_read, peer);
 }
 
@@ -202,16 +202,16 @@
 {
   KrDetector *detector = peer->detector;
   peer->asked = TRUE;
-  kr_client_call (detector->client, "GET", peer->settings->addr, KR_PEER_HEALTH, NULL,
-                  KR_PEER_TIMEOUT_MS, detector->cancel, ping_answered, peer);
+  kr_http_client_call (detector->client, "GET", peer->settings->addr, KR_PEER_HEALTH, NULL,
+                       KR_PEER_TIMEOUT_MS, detector->cancel, ping_answered, peer);
 }
 
 void
 kr_detector_tick (KrDetector *detector)
 {
-  gboolean failing = kr_state_trouble (detector->state) < KR_PROBE_TROUBLE_S ||
-                     kr_state_silence (detector->state) >= KR_STATE_SILENCE_S;
-  for (guint i = 0; i < detector->settings->others->len; i++) {
+  gboolean failing = kr_state_seconds_since_failure (detector->state) < KR_STATE_FAILING_S ||
+                     kr_state_seconds_since_answer (detector->state) >= KR_STATE_UNREACHABLE_S;
+  for (guint i = 0; i < detector->settings->peers->len; i++) {
     Peer *peer = &detector->peers[i];
     if (failing && !peer->asked)
       ping (peer);
@@ -225,32 +225,33 @@
 {
   KrDetector *detector = data;
   gboolean missed = FALSE;
-  for (guint i = 0; i < detector->settings->others->len; i++) {
+  for (guint i = 0; i < detector->settings->peers->len; i++) {
     missed |= is_missed (&detector->peers[i]);
     go_on (&detector->peers[i]);
   }
   /* Who does not answer us may not reach us either, and probe us; our watch may be late. */
   if (missed)
-    kr_membership_refresh (detector->membership);
+    kr_membership_refresh_presence (detector->membership);
   return G_SOURCE_CONTINUE;
 }
 
 KrDetector *
-kr_detector_new (const KrSettings *settings, KrState *state, KrClient *peers,
-                 KrMembership *membership, GCancellable *cancel, KrPeerHeard heard, gpointer data)
+kr_detector_new (const KrSettings *settings, KrStateClient *state, KrHttpClient *peers,
+                 KrMembership *membership, GCancellable *cancel, KrPeerSilenceFunc heard,
+                 gpointer data)
 {
   KrDetector *detector = g_new0 (KrDetector, 1);
   detector->settings = settings;
   detector->state = state;
   detector->client = peers;
   detector->membership = membership;
-  detector->cancel = kr_cancellable_child (cancel);
+  detector->cancel = kr_cancellable_new_child (cancel);
   detector->heard = heard;
   detector->data = data;
-  detector->peers = g_new0 (Peer, MAX (1, settings->others->len));
-  for (guint i = 0; i < settings->others->len; i++)
-    detector->peers[i] = (Peer){ .detector = detector, .settings = settings->others->pdata[i] };
-  detector->timer = kr_timer_add (KR_PROBE_MS, look_at_probes, detector);
+  detector->peers = g_new0 (Peer, MAX (1, settings->peers->len));
+  for (guint i = 0; i < settings->peers->len; i++)
+    detector->peers[i] = (Peer){ .detector = detector, .settings = settings->peers->pdata[i] };
+  detector->timer = kr_timer_add (KR_PROBE_CHECK_MS, look_at_probes, detector);
   return detector;
 }
 
--- a/src/detector.h
+++ b/src/failure-detector.h
@@ -11,11 +11,11 @@
 
 typedef struct KrDetector KrDetector;
 /* A peer has told for how long it has not heard the state service, in seconds. */
-typedef void (*KrPeerHeard) (double silence_s, gpointer data);
+typedef void (*KrPeerSilenceFunc) (double silence_s, gpointer data);
 
-KrDetector *kr_detector_new (const KrSettings *settings, KrState *state, KrClient *peers,
-                             KrMembership *membership, GCancellable *cancel, KrPeerHeard heard,
-                             gpointer data);
+KrDetector *kr_detector_new (const KrSettings *settings, KrStateClient *state, KrHttpClient *peers,
+                             KrMembership *membership, GCancellable *cancel,
+                             KrPeerSilenceFunc heard, gpointer data);
 /* Each KR_TICK_MS: asks the peers while the state service fails. */
 void kr_detector_tick (KrDetector *detector);
 void kr_detector_free (KrDetector *detector);
--- a/src/http-client.c
+++ b/src/http-client.c
@@ -1,14 +1,14 @@
 #include "http-client.h"
 #include "clock.h"
 #include "constants.h"
-#include "flow.h"
+#include "rate-limiter.h"
 #include "log.h"
 #include <libsoup/soup.h>
 #include <string.h>
 
 /* The session never has more calls than connections: it walks over all its messages whenever one
  * begins or ends, so that what waits in it makes every call dearer. */
-struct KrClient {
+struct KrHttpClient {
   grefcount refs; /* its calls hold one each */
   SoupSession *session;
   guint conns, conns_per_host, idle_s;
@@ -19,12 +19,12 @@
 
 /* Stands until the session has reported its end, so that a late report finds it. */
 typedef struct {
-  KrClient *client;
+  KrHttpClient *client;
   GList *place; /* in `waiting`; NULL: the session has it */
   GCancellable *cancel;
-  SoupMessage *message;
-  guint timer;   /* the deadline; behind it, the wait for the session's report */
-  KrReply reply; /* NULL: answered */
+  SoupMessage *http_request;
+  guint timer;              /* the deadline; behind it, the wait for the session's report */
+  KrHttpResponseFunc reply; /* NULL: answered */
   gpointer data;
   gboolean lost; /* the session does not report its end */
 } Call;
@@ -32,7 +32,7 @@
 static guint calls_lost;
 
 guint
-kr_calls_lost (void)
+kr_http_client_lost_calls (void)
 {
   return calls_lost;
 }
@@ -40,7 +40,7 @@
 /* No idle time of the library's own: it would close a connection in the turn of the main loop in
  * which that is given to a call, and the call then never ends, or the process crashes. */
 static SoupSession *
-session_new (const KrClient *client)
+session_new (const KrHttpClient *client)
 {
   SoupSession *session = soup_session_new_with_options (
       "max-conns", client->conns, "max-conns-per-host", client->conns_per_host, "idle-timeout", 0,
@@ -51,10 +51,10 @@
   return session;
 }
 
-KrClient *
-kr_client_new (guint conns, guint conns_per_host, guint idle_s)
+KrHttpClient *
+kr_http_client_new (guint conns, guint conns_per_host, guint idle_s)
 {
-  KrClient *client = g_new0 (KrClient, 1);
+  KrHttpClient *client = g_new0 (KrHttpClient, 1);
   g_ref_count_init (&client->refs);
   client->conns = conns;
   client->conns_per_host = conns_per_host;
@@ -65,7 +65,7 @@
 }
 
 static void
-client_unref (KrClient *client)
+client_unref (KrHttpClient *client)
 {
   if (!g_ref_count_dec (&client->refs))
     return;
@@ -75,7 +75,7 @@
 }
 
 void
-kr_client_free (KrClient *client)
+kr_http_client_free (KrHttpClient *client)
 {
   soup_session_abort (client->session);
   client_unref (client);
@@ -85,10 +85,10 @@
 static gboolean
 close_unused (gpointer data)
 {
-  KrClient *client = data;
+  KrHttpClient *client = data;
   client->idle_timer = 0;
   if (client->under_way)
-    client->idle_timer = kr_timer_add (KR_CLIENT_QUIET_MS, close_unused, client);
+    client->idle_timer = kr_timer_add (KR_IDLE_CLOSE_RETRY_MS, close_unused, client);
   else
     soup_session_abort (client->session);
   return G_SOURCE_REMOVE;
@@ -97,7 +97,7 @@
 static void
 call_answer (Call *call, guint status, json_t *body)
 {
-  KrReply reply = call->reply;
+  KrHttpResponseFunc reply = call->reply;
   call->reply = NULL;
   kr_timer_clear (&call->timer);
   reply (status, body, call->data);
@@ -107,13 +107,13 @@
 call_free (Call *call)
 {
   kr_timer_clear (&call->timer);
-  g_clear_object (&call->message);
+  g_clear_object (&call->http_request);
   g_clear_object (&call->cancel);
   client_unref (call->client);
   g_free (call);
 }
 
-static void hand_over (KrClient *client);
+static void hand_over (KrHttpClient *client);
 
 /* Its place is free for another call, and that goes to a new session: what the old one does with
  * its connections is not known any more. */
@@ -121,14 +121,14 @@
 call_lost (gpointer data)
 {
   Call *call = data;
-  KrClient *client = call->client;
+  KrHttpClient *client = call->client;
   call->timer = 0;
   call->lost = TRUE;
   client->under_way--;
   if (calls_lost++ == 0)
     kr_info ("http: the end of a call was never reported (%s %s), new connections from now on",
-             soup_message_get_method (call->message),
-             g_uri_get_path (soup_message_get_uri (call->message)));
+             soup_message_get_method (call->http_request),
+             g_uri_get_path (soup_message_get_uri (call->http_request)));
   g_object_unref (client->session);
   client->session = session_new (client);
   hand_over (client);
@@ -149,7 +149,7 @@
     return G_SOURCE_REMOVE;
   }
   call_answer (call, 0, NULL);
-  call->timer = kr_timer_add (KR_CALL_LOST_MS, call_lost, call);
+  call->timer = kr_timer_add (KR_CALL_LOST_TIMEOUT_MS, call_lost, call);
   g_cancellable_cancel (call->cancel);
   return G_SOURCE_REMOVE;
 }
@@ -158,7 +158,8 @@
 call_reported (Call *call)
 {
   if (call->lost) {
-    kr_debug ("call %s: its end came late", g_uri_get_path (soup_message_get_uri (call->message)));
+    kr_debug ("call %s: its end came late",
+              g_uri_get_path (soup_message_get_uri (call->http_request)));
     return;
   }
   call->client->under_way--;
@@ -172,7 +173,7 @@
   g_autoptr (GError) error = NULL;
   g_autoptr (GBytes) bytes =
       soup_session_send_and_read_finish (SOUP_SESSION (source), result, &error);
-  guint status = bytes ? soup_message_get_status (call->message) : 0;
+  guint status = bytes ? soup_message_get_status (call->http_request) : 0;
   json_t *body = NULL;
 
   call_reported (call);
@@ -180,7 +181,8 @@
     body = json_loadb (g_bytes_get_data (bytes, NULL), g_bytes_get_size (bytes), JSON_DECODE_ANY,
                        NULL);
   else if (error)
-    kr_debug ("call %s: %s", g_uri_get_path (soup_message_get_uri (call->message)), error->message);
+    kr_debug ("call %s: %s", g_uri_get_path (soup_message_get_uri (call->http_request)),
+              error->message);
   if (call->reply)
     call_answer (call, status, body);
   call_free (call);
@@ -189,13 +191,13 @@
 
 /* As many of those that wait as there are connections. */
 static void
-hand_over (KrClient *client)
+hand_over (KrHttpClient *client)
 {
   Call *call;
   while (client->under_way < client->conns && (call = g_queue_pop_head (&client->waiting))) {
     call->place = NULL;
     client->under_way++;
-    soup_session_send_and_read_async (client->session, call->message, G_PRIORITY_DEFAULT,
+    soup_session_send_and_read_async (client->session, call->http_request, G_PRIORITY_DEFAULT,
                                       call->cancel, call_done, call);
   }
   if (client->under_way && client->idle_s && !client->idle_timer)
@@ -219,8 +221,9 @@
 }
 
 void
-kr_client_call (KrClient *client, const char *method, const char *host, const char *path,
-                json_t *body, guint timeout_ms, GCancellable *cancel, KrReply reply, gpointer data)
+kr_http_client_call (KrHttpClient *client, const char *method, const char *host, const char *path,
+                     json_t *body, guint timeout_ms, GCancellable *cancel, KrHttpResponseFunc reply,
+                     gpointer data)
 {
   g_autofree char *uri = g_strconcat ("http://", host, path, NULL);
   Call *call = g_new0 (Call, 1);
@@ -228,16 +231,16 @@
   call->client = client;
   call->reply = reply;
   call->data = data;
-  call->message = soup_message_new (method, uri);
-  if (!call->message) {
+  call->http_request = soup_message_new (method, uri);
+  if (!call->http_request) {
     json_decref (body);
     g_idle_add (call_impossible, call);
     return;
   }
-  call->cancel = kr_cancellable_child (cancel);
-  soup_message_add_flags (call->message, SOUP_MESSAGE_NO_REDIRECT);
+  call->cancel = kr_cancellable_new_child (cancel);
+  soup_message_add_flags (call->http_request, SOUP_MESSAGE_NO_REDIRECT);
   if (body)
-    set_body (call->message, body);
+    set_body (call->http_request, body);
   json_decref (body);
   call->timer = kr_timer_add (timeout_ms, call_late, call);
   g_queue_push_tail (&client->waiting, call);
--- a/src/http-server.c
+++ b/src/http-server.c
@@ -1,16 +1,16 @@
 #include "http-server.h"
 #include "clock.h"
 #include "constants.h"
-#include "flow.h"
+#include "rate-limiter.h"
 #include "log.h"
 #include <libsoup/soup.h>
 #include <string.h>
 
-struct KrServer {
+struct KrHttpServer {
   SoupServer *soup;
   GSocketListener *listener;
   GCancellable *cancel;
-  KrHandler handler;
+  KrHttpHandler handler;
   gpointer data;
   guint conns, most, idle_s;
   gboolean paused;
@@ -23,7 +23,7 @@
   gboolean gone;
 };
 
-static void accept_next (KrServer *server);
+static void accept_next (KrHttpServer *server);
 
 static void
 request_finished (SoupServerMessage *message, gpointer data)
@@ -35,14 +35,14 @@
 handle (SoupServer *soup, SoupServerMessage *message, const char *path, GHashTable *query,
         gpointer data)
 {
-  KrServer *server = data;
+  KrHttpServer *server = data;
   SoupMessageBody *body = soup_server_message_get_request_body (message);
   if (!soup_message_body_get_accumulate (body))
     return; /* refused already, see too_large */
   KrRequest *request = g_new0 (KrRequest, 1);
   request->message = g_object_ref (message);
   request->path = g_strdup (path);
-  if (body->length > 0 && body->length <= KR_BODY_MAX) {
+  if (body->length > 0 && body->length <= KR_BODY_MAX_BYTES) {
     g_autoptr (GBytes) bytes = soup_message_body_flatten (body);
     request->json = json_loadb (g_bytes_get_data (bytes, NULL), g_bytes_get_size (bytes), 0, NULL);
   }
@@ -70,7 +70,7 @@
 got_chunk (SoupServerMessage *message, GBytes *chunk, gpointer data)
 {
   SoupMessageBody *body = soup_server_message_get_request_body (message);
-  if (body->length <= KR_BODY_MAX || !soup_message_body_get_accumulate (body))
+  if (body->length <= KR_BODY_MAX_BYTES || !soup_message_body_get_accumulate (body))
     return;
   soup_message_body_truncate (body);
   too_large (message);
@@ -82,7 +82,7 @@
 {
   SoupMessageHeaders *h = soup_server_message_get_request_headers (message);
   if (soup_message_headers_get_encoding (h) == SOUP_ENCODING_CONTENT_LENGTH &&
-      soup_message_headers_get_content_length (h) > KR_BODY_MAX)
+      soup_message_headers_get_content_length (h) > KR_BODY_MAX_BYTES)
     too_large (message);
   else
     g_signal_connect (message, "got-chunk", G_CALLBACK (got_chunk), NULL);
@@ -91,7 +91,7 @@
 static void
 connection_gone (gpointer data, GObject *connection)
 {
-  KrServer *server = data;
+  KrHttpServer *server = data;
   server->conns--;
   if (server->paused && server->conns < server->most) {
     server->paused = FALSE;
@@ -107,7 +107,7 @@
 }
 
 static void
-serve_connection (KrServer *server, GSocketConnection *connection)
+serve_connection (KrHttpServer *server, GSocketConnection *connection)
 {
   g_autoptr (GError) error = NULL;
   g_autoptr (GSocketAddress) local = g_socket_connection_get_local_address (connection, NULL);
@@ -128,14 +128,14 @@
 static void
 accepted (GObject *source, GAsyncResult *result, gpointer data)
 {
-  KrServer *server = data;
+  KrHttpServer *server = data;
   g_autoptr (GError) error = NULL;
   g_autoptr (GSocketConnection) c =
       g_socket_listener_accept_finish (G_SOCKET_LISTENER (source), result, NULL, &error);
 
   if (!c) {
     if (!g_error_matches (error, G_IO_ERROR, G_IO_ERROR_CANCELLED))
-      kr_timer_add (KR_ACCEPT_PAUSE_MS, accept_again, server);
+      kr_timer_add (KR_ACCEPT_RETRY_MS, accept_again, server);
     return;
   }
   serve_connection (server, c);
@@ -145,7 +145,7 @@
 /* The stage before the API: with all connections in use, further ones wait in the kernel's short
  * backlog and the balancer goes elsewhere. */
 static void
-accept_next (KrServer *server)
+accept_next (KrHttpServer *server)
 {
   if (server->conns >= server->most)
     server->paused = TRUE;
@@ -153,9 +153,9 @@
     g_socket_listener_accept_async (server->listener, server->cancel, accepted, server);
 }
 
-KrServer *
-kr_server_new (const char *address, guint conns, guint idle_s, GCancellable *cancel,
-               KrHandler handler, gpointer data, GError **error)
+KrHttpServer *
+kr_http_server_new (const char *address, guint conns, guint idle_s, GCancellable *cancel,
+                    KrHttpHandler handler, gpointer data, GError **error)
 {
   const char *colon = strrchr (address, ':');
   g_autofree char *host = g_strndup (address, colon - address);
@@ -168,13 +168,13 @@
     g_prefix_error (error, "cannot listen on %s: ", address);
     return NULL;
   }
-  KrServer *server = g_new0 (KrServer, 1);
+  KrHttpServer *server = g_new0 (KrHttpServer, 1);
   server->soup = soup_server_new (NULL, NULL);
   soup_server_remove_websocket_extension (server->soup, SOUP_TYPE_WEBSOCKET_EXTENSION);
   soup_server_add_early_handler (server->soup, NULL, early, server, NULL);
   soup_server_add_handler (server->soup, NULL, handle, server, NULL);
   server->listener = g_steal_pointer (&listener);
-  server->cancel = kr_cancellable_child (cancel);
+  server->cancel = kr_cancellable_new_child (cancel);
   server->handler = handler;
   server->data = data;
   server->most = conns;
@@ -184,7 +184,7 @@
 }
 
 void
-kr_server_free (KrServer *server)
+kr_http_server_free (KrHttpServer *server)
 {
   g_cancellable_cancel (server->cancel);
   g_socket_listener_close (server->listener);
@@ -220,7 +220,7 @@
 }
 
 gboolean
-kr_request_gone (KrRequest *request)
+kr_request_disconnected (KrRequest *request)
 {
   return request->gone;
 }
--- a/src/invariant.c
+++ b/src/invariant.c
@@ -4,12 +4,12 @@
 
 static const char *const names[] = { [KR_INVARIANT_ONE_RECORD] = "one-record",
                                      [KR_INVARIANT_RECORD_KEPT] = "record-kept",
-                                     [KR_INVARIANT_ONE_LAUNCH] = "one-launch",
+                                     [KR_INVARIANT_ONE_ATTEMPT] = "one-launch",
                                      [KR_INVARIANT_MACHINE_READY] = "machine-ready",
-                                     [KR_INVARIANT_ENDED] = "ended" };
+                                     [KR_INVARIANT_JOB_NOT_ENDED] = "ended" };
 
 void
-kr_invariant_broken (KrInvariant which, const char *format, ...)
+kr_invariant_violated (KrInvariant which, const char *format, ...)
 {
   va_list args;
   va_start (args, format);
@@ -20,7 +20,7 @@
 }
 
 guint
-kr_invariants_broken (void)
+kr_invariant_violations (void)
 {
   guint sum = 0;
   for (guint i = 0; i < KR_N_INVARIANTS; i++)
--- a/src/invariant.h
+++ b/src/invariant.h
@@ -8,13 +8,13 @@
 typedef enum {
   KR_INVARIANT_ONE_RECORD,    /* a machine stands in one part's record at most */
   KR_INVARIANT_RECORD_KEPT,   /* a machine with tasks does not leave its part's record */
-  KR_INVARIANT_ONE_LAUNCH,    /* of a task, one launch at most may be on a machine */
+  KR_INVARIANT_ONE_ATTEMPT,   /* of a task, one launch at most may be on a machine */
   KR_INVARIANT_MACHINE_READY, /* a task starts only where it may */
-  KR_INVARIANT_ENDED,         /* nothing of a job that has ended starts */
+  KR_INVARIANT_JOB_NOT_ENDED, /* nothing of a job that has ended starts */
   KR_N_INVARIANTS
 } KrInvariant;
 
 /* Notes that `which` does not hold; `format`: what that was judged on. */
-void kr_invariant_broken (KrInvariant which, const char *format, ...) G_GNUC_PRINTF (2, 3);
+void kr_invariant_violated (KrInvariant which, const char *format, ...) G_GNUC_PRINTF (2, 3);
 /* How often one did not hold since the process began. */
-guint kr_invariants_broken (void);
+guint kr_invariant_violations (void);
--- a/src/view.c
+++ b/src/job-view.c
@@ -1,4 +1,4 @@
-#include "view.h"
+#include "job-view.h"
 #include "clock.h"
 #include "constants.h"
 #include <string.h>
@@ -6,15 +6,15 @@
 #define PREFIX "job/"
 
 typedef struct {
-  KrViewReply reply;
+  KrJobViewFunc reply;
   gpointer data;
 } Waiter;
 
-struct KrView {
-  KrState *state;
+struct KrJobView {
+  KrStateClient *state;
   GCancellable *cancel;
-  KrFollow *scan;
-  GHashTable *jobs; /* id -> KrViewJob */
+  KrWatch *scan;
+  GHashTable *jobs; /* id -> KrStoredJob */
   guint64 revision; /* all changes up to it are in; 0: not read yet */
   gint64 synced;    /* monotonic us: what was changed before then is in */
   gint64 began;     /* the same of the request under way */
@@ -24,24 +24,24 @@
   guint timer;
 };
 
-static void go_on (KrView *view);
+static void go_on (KrJobView *view);
 
 gboolean
-kr_view_job_parse (KrViewJob *view_job, const KrItem *item)
+kr_stored_job_parse (KrStoredJob *view_job, const KrKeyValue *item)
 {
-  *view_job = (KrViewJob){ .revision = item->revision };
-  if (!kr_job_peek (item->value, &view_job->state, &view_job->done, &view_job->running))
+  *view_job = (KrStoredJob){ .revision = item->revision };
+  if (!kr_job_parse_status (item->value, &view_job->state, &view_job->done, &view_job->running))
     return FALSE;
-  view_job->cancelled = kr_job_peek_cancelled (item->value, &view_job->part, &view_job->owner);
+  view_job->cancelled = kr_job_parse_cancellation (item->value, &view_job->shard, &view_job->owner);
   return TRUE;
 }
 
 static void
-take (KrView *view, const KrItem *item)
+take (KrJobView *view, const KrKeyValue *item)
 {
   const char *id = item->key + strlen (PREFIX);
-  KrViewJob j;
-  if (!item->value || !kr_view_job_parse (&j, item)) {
+  KrStoredJob j;
+  if (!item->value || !kr_stored_job_parse (&j, item)) {
     g_hash_table_remove (view->jobs, id);
     return;
   }
@@ -49,7 +49,7 @@
 }
 
 static void
-finish (KrView *view, gboolean known)
+finish (KrJobView *view, gboolean known)
 {
   g_autoptr (GArray) served = view->served;
   view->served = g_array_new (FALSE, FALSE, sizeof (Waiter));
@@ -67,16 +67,16 @@
 static void
 scanned (json_t *items, guint64 revision, gpointer data)
 {
-  KrView *view = data;
+  KrJobView *view = data;
   json_t *o;
   size_t i;
 
-  kr_follow_stop (view->scan);
+  kr_watch_stop (view->scan);
   g_hash_table_remove_all (view->jobs);
   json_array_foreach (items, i, o)
   {
-    KrItem item;
-    if (kr_wire_item_parse (o, &item))
+    KrKeyValue item;
+    if (kr_wire_key_value_parse (o, &item))
       take (view, &item);
   }
   view->revision = revision;
@@ -84,7 +84,7 @@
 }
 
 static void
-never (const KrItem *item, gpointer data)
+never (const KrKeyValue *item, gpointer data)
 {
   /* The scan is stopped before it follows. */
 }
@@ -92,7 +92,7 @@
 static void
 changed (guint status, json_t *body, gpointer data)
 {
-  KrView *view = data;
+  KrJobView *view = data;
   json_t *o;
   size_t i;
 
@@ -102,10 +102,10 @@
     finish (view, FALSE);
     return;
   }
-  json_array_foreach (kr_wire_events (body), i, o)
+  json_array_foreach (kr_wire_watch_events (body), i, o)
   {
-    KrItem item;
-    if (kr_wire_event_parse (o, &item))
+    KrKeyValue item;
+    if (kr_wire_watch_event_parse (o, &item))
       take (view, &item);
   }
   view->revision = MAX (view->revision, kr_wire_revision (body));
@@ -115,9 +115,9 @@
 static gboolean
 scan_late (gpointer data)
 {
-  KrView *view = data;
+  KrJobView *view = data;
   view->timer = 0;
-  kr_follow_stop (view->scan);
+  kr_watch_stop (view->scan);
   finish (view, FALSE);
   return G_SOURCE_REMOVE;
 }
@@ -125,7 +125,7 @@
 static gboolean
 start (gpointer data)
 {
-  KrView *view = data;
+  KrJobView *view = data;
   GArray *served = view->served;
   gint64 now = kr_now ();
 
@@ -135,32 +135,32 @@
   view->waiting = served;
   view->began = now;
   /* After a pause the live jobs are fewer than the changes. */
-  if (view->revision && now - view->synced < (gint64) (KR_VIEW_STALE_S * G_USEC_PER_SEC))
-    kr_state_changes (view->state, PREFIX, view->revision, KR_USER_READ_MS, view->cancel, changed,
-                      view);
+  if (view->revision && now - view->synced < (gint64) (KR_JOB_VIEW_STALE_S * G_USEC_PER_SEC))
+    kr_state_changes (view->state, PREFIX, view->revision, KR_USER_READ_DEADLINE_MS, view->cancel,
+                      changed, view);
   else {
-    view->timer = kr_timer_add (KR_USER_READ_MS, scan_late, view);
-    kr_follow_rescan (view->scan);
+    view->timer = kr_timer_add (KR_USER_READ_DEADLINE_MS, scan_late, view);
+    kr_watch_relist (view->scan);
   }
   return G_SOURCE_REMOVE;
 }
 
 static void
-go_on (KrView *view)
+go_on (KrJobView *view)
 {
   if (view->busy || view->timer || view->waiting->len == 0)
     return;
-  gint64 wait = view->began + KR_VIEW_SYNC_MS * 1000 - kr_now ();
-  view->timer = kr_timer_add ((guint) CLAMP (wait / 1000, 1, KR_VIEW_SYNC_MS), start, view);
+  gint64 wait = view->began + KR_JOB_VIEW_SYNC_MS * 1000 - kr_now ();
+  view->timer = kr_timer_add ((guint) CLAMP (wait / 1000, 1, KR_JOB_VIEW_SYNC_MS), start, view);
 }
 
-KrView *
-kr_view_new (KrState *state, GCancellable *cancel)
+KrJobView *
+kr_job_view_new (KrStateClient *state, GCancellable *cancel)
 {
-  KrView *view = g_new0 (KrView, 1);
+  KrJobView *view = g_new0 (KrJobView, 1);
   view->state = state;
-  view->cancel = kr_cancellable_child (cancel);
-  view->scan = kr_follow_new (state, PREFIX, view->cancel, scanned, never, view);
+  view->cancel = kr_cancellable_new_child (cancel);
+  view->scan = kr_watch_new (state, PREFIX, view->cancel, scanned, never, view);
   view->jobs = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
   view->waiting = g_array_new (FALSE, FALSE, sizeof (Waiter));
   view->served = g_array_new (FALSE, FALSE, sizeof (Waiter));
@@ -168,25 +168,25 @@
 }
 
 void
-kr_view_free (KrView *view)
+kr_job_view_free (KrJobView *view)
 {
   kr_timer_clear (&view->timer);
   g_cancellable_cancel (view->cancel);
-  kr_follow_stop (view->scan);
+  kr_watch_stop (view->scan);
 }
 
 /* Joins only a request that begins after this call: one under way may have been answered before
  * what the asker has been told elsewhere. */
 void
-kr_view_sync (KrView *view, KrViewReply reply, gpointer data)
+kr_job_view_sync (KrJobView *view, KrJobViewFunc reply, gpointer data)
 {
   const Waiter w = { reply, data };
   g_array_append_val (view->waiting, w);
   go_on (view);
 }
 
-const KrViewJob *
-kr_view_find (KrView *view, const char *job)
+const KrStoredJob *
+kr_job_view_find (KrJobView *view, const char *job)
 {
   return g_hash_table_lookup (view->jobs, job);
 }
--- a/src/ledger.c
+++ b/src/job.c
@@ -1,18 +1,18 @@
-#include "ledger.h"
+#include "job.h"
 #include "constants.h"
 #include <string.h>
 
 KrJob *
-kr_job_new (KrSpec *spec, double at, guint part)
+kr_job_new (KrJobSpec *spec, double at, guint shard)
 {
   KrJob *job = g_new0 (KrJob, 1);
   job->spec = spec;
-  job->at = at;
-  job->part = part;
-  job->done = g_malloc0 (kr_job_bytes (job));
-  job->durable = g_malloc0 (kr_job_bytes (job));
+  job->submitted_at = at;
+  job->shard = shard;
+  job->done = g_malloc0 (kr_job_bitmap_bytes (job));
+  job->persisted = g_malloc0 (kr_job_bitmap_bytes (job));
   job->active = g_malloc0 (spec->tasks);
-  job->hold_s = KR_JOB_HOLD_S;
+  job->backoff_s = KR_JOB_BACKOFF_S;
   job->failed_on = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
   return job;
 }
@@ -20,16 +20,16 @@
 void
 kr_job_free (KrJob *job)
 {
-  kr_spec_free (job->spec);
+  kr_job_spec_free (job->spec);
   g_free (job->done);
-  g_free (job->durable);
+  g_free (job->persisted);
   g_free (job->active);
   g_hash_table_unref (job->failed_on);
   g_free (job);
 }
 
 gsize
-kr_job_bytes (const KrJob *job)
+kr_job_bitmap_bytes (const KrJob *job)
 {
   return (job->spec->tasks + 7) / 8;
 }
@@ -41,7 +41,7 @@
 }
 
 char *
-kr_job_end_key (const char *id)
+kr_job_final_key (const char *id)
 {
   return g_strconcat ("end/", id, NULL);
 }
@@ -53,17 +53,17 @@
 }
 
 guint
-kr_job_chunks (const KrJob *job)
+kr_job_chunk_count (const KrJob *job)
 {
-  return MAX (1, (job->spec->tasks + KR_CHUNK_BITS - 1) / KR_CHUNK_BITS);
+  return MAX (1, (job->spec->tasks + KR_DONE_CHUNK_BITS - 1) / KR_DONE_CHUNK_BITS);
 }
 
-/* Byte range of a chunk. KR_CHUNK_BITS is a multiple of 8. */
+/* Byte range of a chunk. KR_DONE_CHUNK_BITS is a multiple of 8. */
 static gsize
 chunk_range (const KrJob *job, guint chunk, gsize *length)
 {
-  gsize from = (gsize) chunk * (KR_CHUNK_BITS / 8), all = kr_job_bytes (job);
-  *length = from < all ? MIN ((gsize) KR_CHUNK_BITS / 8, all - from) : 0;
+  gsize from = (gsize) chunk * (KR_DONE_CHUNK_BITS / 8), all = kr_job_bitmap_bytes (job);
+  *length = from < all ? MIN ((gsize) KR_DONE_CHUNK_BITS / 8, all - from) : 0;
   return from;
 }
 
@@ -87,7 +87,7 @@
       guint task = (guint) ((from + i) * 8 + b);
       if ((bytes[i] >> b & 1) && task < job->spec->tasks) {
         kr_job_set_done (job, task);
-        job->durable[from + i] |= (guint8) (1u << b);
+        job->persisted[from + i] |= (guint8) (1u << b);
       }
     }
 }
@@ -99,36 +99,37 @@
   for (guint t = 0; t < job->spec->tasks; t++)
     n += done[t / 8] >> (t % 8) & 1;
   return json_pack ("{so sf sI sb sf sI sI sI so}", "Spec", kr_wire_spec_build (job->spec), "At",
-                    job->at, "Part", (json_int_t) job->part, "Cancelled", job->cancelled, "Sum",
-                    job->sum, "Count", (json_int_t) job->count, "N", (json_int_t) n, "R",
-                    (json_int_t) running, "Done", kr_job_chunk_encode (job, done, 0));
+                    job->submitted_at, "Part", (json_int_t) job->shard, "Cancelled", job->cancelled,
+                    "Sum", job->timed_sum_s, "Count", (json_int_t) job->timed_count, "N",
+                    (json_int_t) n, "R", (json_int_t) running, "Done",
+                    kr_job_chunk_encode (job, done, 0));
 }
 
 KrJob *
 kr_job_decode (json_t *value, guint64 revision)
 {
-  KrSpec *spec = kr_wire_spec_parse (json_object_get (value, "Spec"), NULL);
+  KrJobSpec *spec = kr_wire_spec_parse (json_object_get (value, "Spec"), NULL);
   if (!spec)
     return NULL;
   KrJob *job = kr_job_new (spec, json_number_value (json_object_get (value, "At")),
                            (guint) json_integer_value (json_object_get (value, "Part")));
   job->revision = revision;
   job->cancelled = json_is_true (json_object_get (value, "Cancelled"));
-  job->sum = json_number_value (json_object_get (value, "Sum"));
-  job->count = (guint) json_integer_value (json_object_get (value, "Count"));
+  job->timed_sum_s = json_number_value (json_object_get (value, "Sum"));
+  job->timed_count = (guint) json_integer_value (json_object_get (value, "Count"));
   kr_job_chunk_merge (job, 0, json_object_get (value, "Done"));
-  job->chunks_missing = kr_job_chunks (job) - 1;
+  job->chunks_missing = kr_job_chunk_count (job) - 1;
   return job;
 }
 
 json_t *
-kr_job_end_value (KrJobState state, guint done)
+kr_job_final_value (KrJobState state, guint done)
 {
   return json_pack ("{ss sI}", "End", kr_wire_job_state (state), "N", (json_int_t) done);
 }
 
 gboolean
-kr_job_peek (json_t *value, KrJobState *state, guint *done, guint *running)
+kr_job_parse_status (json_t *value, KrJobState *state, guint *done, guint *running)
 {
   const char *end = json_string_value (json_object_get (value, "End"));
   *done = (guint) json_integer_value (json_object_get (value, "N"));
@@ -147,7 +148,7 @@
 }
 
 guint
-kr_job_peek_part (json_t *value)
+kr_job_parse_shard (json_t *value)
 {
   return (guint) json_integer_value (json_object_get (value, "Part"));
 }
@@ -162,9 +163,9 @@
 }
 
 gboolean
-kr_job_peek_cancelled (json_t *value, guint *part, guint64 *owner)
+kr_job_parse_cancellation (json_t *value, guint *shard, guint64 *owner)
 {
-  *part = kr_job_peek_part (value);
+  *shard = kr_job_parse_shard (value);
   *owner = (guint64) json_integer_value (json_object_get (value, "CancelledUnder"));
   return json_is_object (json_object_get (value, "Spec")) &&
          json_is_true (json_object_get (value, "Cancelled"));
@@ -177,9 +178,9 @@
 }
 
 gboolean
-kr_job_is_durable (const KrJob *job, guint t)
+kr_job_is_persisted (const KrJob *job, guint t)
 {
-  return t < job->spec->tasks && (job->durable[t / 8] >> (t % 8) & 1);
+  return t < job->spec->tasks && (job->persisted[t / 8] >> (t % 8) & 1);
 }
 
 void
@@ -199,7 +200,7 @@
 }
 
 void
-kr_job_drop_active (KrJob *job, guint t)
+kr_job_remove_active (KrJob *job, guint t)
 {
   if (t < job->spec->tasks && job->active[t] && --job->active[t] == 0) {
     job->n_active--;
@@ -216,7 +217,7 @@
 }
 
 gint64
-kr_job_next (KrJob *job)
+kr_job_next_task (KrJob *job)
 {
   for (; job->cursor < job->spec->tasks; job->cursor++)
     if (!job->active[job->cursor] && !kr_job_is_done (job, job->cursor))
@@ -225,22 +226,22 @@
 }
 
 gboolean
-kr_job_suspect (const KrJob *job)
+kr_job_is_suspect (const KrJob *job)
 {
-  return g_hash_table_size (job->failed_on) >= KR_JOB_FAIL_MACHINES;
+  return g_hash_table_size (job->failed_on) >= KR_JOB_BACKOFF_MACHINES;
 }
 
 void
 kr_job_clear_failures (KrJob *job)
 {
   g_hash_table_remove_all (job->failed_on);
-  job->hold_until = 0;
-  job->hold_s = KR_JOB_HOLD_S;
+  job->backoff_until = 0;
+  job->backoff_s = KR_JOB_BACKOFF_S;
   job->probing = FALSE;
 }
 
 gboolean
-kr_job_complete (const KrJob *job)
+kr_job_is_complete (const KrJob *job)
 {
   return job->n_done == job->spec->tasks;
 }
--- a/src/membership.c
+++ b/src/membership.c
@@ -7,20 +7,20 @@
 
 struct KrMembership {
   const KrSettings *settings;
-  KrState *state;
+  KrStateClient *state;
   GCancellable *cancel;
   KrMembershipEvents events;
   gpointer data;
   char *incarnation;
-  KrFollow *follow;
+  KrWatch *follow;
   gboolean seen;       /* c/ was read since we began, or began anew */
   gint64 unseen_since; /* monotonic us, while not seen */
   gboolean given_up;   /* our lease is left to run out */
   guint scans;         /* asked for */
   KrHolder *holders;   /* size parts, then the leader */
-  KrRecords *records;
-  KrClaim *claims;     /* size */
-  GHashTable *present; /* node -> Present */
+  KrMachineRecords *records;
+  KrOwnerHistory *claims; /* size */
+  GHashTable *present;    /* node -> Present */
   guint64 lease;
   gboolean lease_busy;
   gint64 presence_at;     /* monotonic us: our presence is not written again before */
@@ -69,57 +69,57 @@
 }
 
 guint64
-kr_membership_lease_of (json_t *presence)
+kr_membership_presence_lease (json_t *presence)
 {
   json_int_t lease = json_integer_value (json_object_get (presence, "Lease"));
   return lease > 0 ? (guint64) lease : 0;
 }
 
 char *
-kr_membership_owner_key (guint part)
+kr_membership_owner_key (guint shard)
 {
-  return g_strdup_printf ("c/owner/%u", part);
+  return g_strdup_printf ("c/owner/%u", shard);
 }
 
 char *
-kr_membership_claim_key (guint part)
+kr_membership_owner_history_key (guint shard)
 {
-  return g_strdup_printf ("c/claim/%u", part);
+  return g_strdup_printf ("c/claim/%u", shard);
 }
 
 char *
-kr_membership_needs_key (guint part)
+kr_membership_summary_key (guint shard)
 {
-  return g_strdup_printf ("c/needs/%u", part);
+  return g_strdup_printf ("c/needs/%u", shard);
 }
 
 static char *
 holder_key (KrMembership *membership, guint which)
 {
-  return which == membership->settings->size ? g_strdup (KR_LEADER_KEY)
-                                             : kr_membership_owner_key (which);
+  return which == membership->settings->shard_count ? g_strdup (KR_LEADER_KEY)
+                                                    : kr_membership_owner_key (which);
 }
 
 const KrHolder *
-kr_membership_holder (KrMembership *membership, guint part)
+kr_membership_holder (KrMembership *membership, guint shard)
 {
-  return &membership->holders[part];
+  return &membership->holders[shard];
 }
 
 const KrHolder *
 kr_membership_leader (KrMembership *membership)
 {
-  return &membership->holders[membership->settings->size];
+  return &membership->holders[membership->settings->shard_count];
 }
 
-const KrClaim *
-kr_membership_claim (KrMembership *membership, guint part)
+const KrOwnerHistory *
+kr_membership_owner_history (KrMembership *membership, guint shard)
 {
-  return &membership->claims[part];
+  return &membership->claims[shard];
 }
 
 gboolean
-kr_membership_seen (KrMembership *membership)
+kr_membership_is_synced (KrMembership *membership)
 {
   return membership->seen;
 }
@@ -132,28 +132,28 @@
 }
 
 gboolean
-kr_membership_owns (KrMembership *membership, guint part)
+kr_membership_owns (KrMembership *membership, guint shard)
 {
-  return mine (membership, &membership->holders[part]);
+  return mine (membership, &membership->holders[shard]);
 }
 
 static gboolean
 keeps_off (KrMembership *membership)
 {
-  return membership->settings->self < membership->settings->size &&
-         kr_now () < membership->holders[membership->settings->self].keep_off;
+  return membership->settings->self_index < membership->settings->shard_count &&
+         kr_now () < membership->holders[membership->settings->self_index].backoff_until;
 }
 
 gint64
-kr_membership_proven (KrMembership *membership)
+kr_membership_lease_confirmed_at (KrMembership *membership)
 {
   return membership->proven;
 }
 
 gboolean
-kr_membership_leads (KrMembership *membership)
+kr_membership_is_leader (KrMembership *membership)
 {
-  return mine (membership, &membership->holders[membership->settings->size]);
+  return mine (membership, &membership->holders[membership->settings->shard_count]);
 }
 
 /* --- what the watch shows ------------------------------------------------------------ */
@@ -166,7 +166,7 @@
   if (value && !node) {
     /* Not "nobody": a key that is there cannot be taken as a free one. */
     kr_info ("state: the key of %s %u is malformed, left as it was known",
-             which == membership->settings->size ? "leader" : "part", which);
+             which == membership->settings->shard_count ? "leader" : "part", which);
     return;
   }
   if (revision < holder->revision || (revision == holder->revision && !!node == !!holder->node))
@@ -175,16 +175,16 @@
   g_clear_pointer (&holder->node, g_free);
   g_clear_pointer (&holder->incarnation, g_free);
   holder->revision = revision;
-  holder->from = 0;
+  holder->replaced_revision = 0;
   if (node) {
     holder->node = g_strdup (node);
     holder->incarnation = g_strdup (json_string_value (json_object_get (value, "Inc")));
-    holder->from = (guint64) json_integer_value (json_object_get (value, "From"));
+    holder->replaced_revision = (guint64) json_integer_value (json_object_get (value, "From"));
   } else
     holder->free_since = kr_now ();
   if (!before && mine (membership, holder))
     holder->ours_since = kr_now ();
-  if (which == membership->settings->size)
+  if (which == membership->settings->shard_count)
     kr_info ("leader: %s (token %" G_GUINT64_FORMAT ")", node ? node : "none", revision);
   else {
     kr_info ("part %u: owner %s (token %" G_GUINT64_FORMAT ")", which, node ? node : "none",
@@ -194,21 +194,22 @@
 }
 
 gboolean
-kr_membership_superseded (KrMembership *membership, guint part, const char *node, guint64 token)
+kr_membership_observe_owner (KrMembership *membership, guint shard, const char *node, guint64 token)
 {
-  const KrHolder *holder = &membership->holders[part];
+  const KrHolder *holder = &membership->holders[shard];
   if (holder->revision < token) {
     json_t *value = json_pack ("{ss}", "Node", node);
-    set_holder (membership, part, value, token);
+    set_holder (membership, shard, value, token);
     json_decref (value);
   }
   return holder->revision >= token && !mine (membership, holder);
 }
 
 void
-kr_membership_note_claim (KrMembership *membership, guint part, json_t *value, guint64 revision)
+kr_membership_apply_owner_history (KrMembership *membership, guint shard, json_t *value,
+                                   guint64 revision)
 {
-  kr_claim_read (&membership->claims[part], value, revision, membership->settings);
+  kr_owner_history_update (&membership->claims[shard], value, revision, membership->settings);
 }
 
 /* value: NULL: it is gone. */
@@ -240,10 +241,10 @@
 }
 
 static void
-on_event (const KrItem *item, gpointer data)
+on_event (const KrKeyValue *item, gpointer data)
 {
   KrMembership *membership = data;
-  guint size = membership->settings->size;
+  guint size = membership->settings->shard_count;
   const char *k = item->key;
 
   if (g_str_has_prefix (k, "c/node/")) {
@@ -269,13 +270,13 @@
   } else if (g_str_has_prefix (k, "c/claim/")) {
     guint p = (guint) atoi (k + strlen ("c/claim/"));
     if (p < size && item->value)
-      kr_membership_note_claim (membership, p, item->value, item->revision);
+      kr_membership_apply_owner_history (membership, p, item->value, item->revision);
   } else if (g_str_has_prefix (k, "c/needs/")) {
     guint p = (guint) atoi (k + strlen ("c/needs/"));
     if (p < size && item->value)
-      membership->events.needs (p, item->value, membership->data);
+      membership->events.summary_stored (p, item->value, membership->data);
   } else
-    kr_records_note (membership->records, item);
+    kr_machine_records_apply (membership->records, item);
 }
 
 static gboolean
@@ -288,15 +289,15 @@
 static void
 scan_holders (KrMembership *membership, json_t *items, guint64 revision)
 {
-  guint size = membership->settings->size;
+  guint size = membership->settings->shard_count;
   g_autofree gboolean *found = g_new0 (gboolean, size + 1);
   json_t *o;
   size_t i;
 
   json_array_foreach (items, i, o)
   {
-    KrItem item;
-    if (!kr_wire_item_parse (o, &item) || !is_holder_key (item.key))
+    KrKeyValue item;
+    if (!kr_wire_key_value_parse (o, &item) || !is_holder_key (item.key))
       continue;
     for (guint p = 0; p <= size; p++) {
       g_autofree char *key = holder_key (membership, p);
@@ -327,8 +328,8 @@
   scan_holders (membership, items, revision);
   json_array_foreach (items, i, o)
   {
-    KrItem item;
-    if (!kr_wire_item_parse (o, &item) || is_holder_key (item.key))
+    KrKeyValue item;
+    if (!kr_wire_key_value_parse (o, &item) || is_holder_key (item.key))
       continue;
     if (g_str_has_prefix (item.key, "c/node/"))
       g_hash_table_add (nodes, (char *) item.key + strlen ("c/node/"));
@@ -345,14 +346,14 @@
   membership->seen = TRUE;
   membership->given_up = FALSE;
   if (membership->scans == scans)
-    membership->events.scanned (membership->data);
+    membership->events.relisted (membership->data);
 }
 
 void
-kr_membership_rescan (KrMembership *membership)
+kr_membership_relist (KrMembership *membership)
 {
   membership->scans++;
-  kr_follow_rescan (membership->follow);
+  kr_watch_relist (membership->follow);
 }
 
 /* --- taking and giving --------------------------------------------------------------- */
@@ -363,7 +364,7 @@
   KrMembership *membership = c->m;
   KrHolder *holder = &membership->holders[c->which];
 
-  holder->busy = FALSE;
+  holder->txn_in_flight = FALSE;
   if (status == 200 && c->removal)
     set_holder (membership, c->which, NULL, kr_wire_revision (body));
   else if (status == 400)
@@ -381,42 +382,42 @@
   Change *c = g_new (Change, 1);
 
   *c = (Change){ membership, which, FALSE };
-  holder->busy = TRUE;
-  kr_txn_when (txn, key, expect);
+  holder->txn_in_flight = TRUE;
+  kr_txn_expect_revision (txn, key, expect);
   kr_txn_put (txn, key,
               json_pack ("{ss ss sI}", "Node", membership->settings->node_name, "Inc",
                          membership->incarnation, "From", (json_int_t) expect),
               membership->lease);
-  kr_state_commit (membership->state, txn, KR_FIRST, KR_STATE_TIMEOUT_MS, membership->cancel,
+  kr_state_commit (membership->state, txn, KR_QUEUE_HIGH, KR_STATE_TIMEOUT_MS, membership->cancel,
                    change_done, c);
 }
 
 void
-kr_membership_renew_token (KrMembership *membership, guint part)
+kr_membership_renew_token (KrMembership *membership, guint shard)
 {
-  if (membership->lease && !membership->holders[part].busy &&
-      kr_membership_owns (membership, part)) {
-    kr_info ("part %u: a machine has seen a higher token, renewing ours", part);
-    take (membership, part);
+  if (membership->lease && !membership->holders[shard].txn_in_flight &&
+      kr_membership_owns (membership, shard)) {
+    kr_info ("part %u: a machine has seen a higher token, renewing ours", shard);
+    take (membership, shard);
   }
 }
 
 void
-kr_membership_release (KrMembership *membership, guint part, guint keep_off_ms)
+kr_membership_release (KrMembership *membership, guint shard, guint keep_off_ms)
 {
-  KrHolder *holder = &membership->holders[part];
-  if (holder->busy || !mine (membership, holder))
+  KrHolder *holder = &membership->holders[shard];
+  if (holder->txn_in_flight || !mine (membership, holder))
     return;
-  g_autofree char *key = holder_key (membership, part);
+  g_autofree char *key = holder_key (membership, shard);
   KrTxn *txn = kr_txn_new ();
   Change *c = g_new (Change, 1);
 
-  *c = (Change){ membership, part, TRUE };
-  holder->busy = TRUE;
-  holder->keep_off = kr_now () + (gint64) keep_off_ms * 1000;
-  kr_txn_when (txn, key, holder->revision);
+  *c = (Change){ membership, shard, TRUE };
+  holder->txn_in_flight = TRUE;
+  holder->backoff_until = kr_now () + (gint64) keep_off_ms * 1000;
+  kr_txn_expect_revision (txn, key, holder->revision);
   kr_txn_remove (txn, key);
-  kr_state_commit (membership->state, txn, KR_FIRST, KR_STATE_TIMEOUT_MS, membership->cancel,
+  kr_state_commit (membership->state, txn, KR_QUEUE_HIGH, KR_STATE_TIMEOUT_MS, membership->cancel,
                    change_done, c);
 }
 
@@ -424,7 +425,7 @@
 parts_held (KrMembership *membership)
 {
   guint n = 0;
-  for (guint p = 0; p < membership->settings->size; p++)
+  for (guint p = 0; p < membership->settings->shard_count; p++)
     n += kr_membership_owns (membership, p);
   return n;
 }
@@ -436,24 +437,24 @@
 {
   KrHolder *holder = &membership->holders[which];
   const KrSettings *settings = membership->settings;
-  if (now < holder->keep_off)
+  if (now < holder->backoff_until)
     return FALSE;
-  if (which < settings->size && which == settings->self)
+  if (which < settings->shard_count && which == settings->self_index)
     return TRUE;
-  gint64 wait = KR_FOREIGN_STEP_MS * (gint64) parts_held (membership);
-  if (which < settings->size)
-    wait += KR_FOREIGN_WAIT_MS;
+  gint64 wait = KR_NON_HOME_STEP_MS * (gint64) parts_held (membership);
+  if (which < settings->shard_count)
+    wait += KR_NON_HOME_WAIT_MS;
   return now - holder->free_since >= wait * 1000;
 }
 
 /* Not while its takeover is under way here: at home it would begin anew, with all waits. One that
  * does not come to its end here may at home. */
 static gboolean
-may_hand_back (KrMembership *membership, guint part, gint64 now)
+may_hand_back (KrMembership *membership, guint shard, gint64 now)
 {
-  double limit_s = KR_CLOSED_LEASES * membership->settings->lease_s;
-  gint64 held = now - membership->holders[part].ours_since;
-  return membership->claims[part].settled || held > (gint64) (limit_s * G_USEC_PER_SEC);
+  double limit_s = KR_HAND_BACK_MAX_LEASES * membership->settings->worker_lease_s;
+  gint64 held = now - membership->holders[shard].ours_since;
+  return membership->claims[shard].all_fenced || held > (gint64) (limit_s * G_USEC_PER_SEC);
 }
 
 static gboolean
@@ -472,9 +473,9 @@
   gboolean answered = membership->shown_revision > membership->probe_revision;
   if ((!membership->shown || !answered) && now >= membership->presence_at)
     put_presence (membership);
-  for (guint p = 0; p <= settings->size; p++) {
+  for (guint p = 0; p <= settings->shard_count; p++) {
     KrHolder *holder = &membership->holders[p];
-    if (holder->busy)
+    if (holder->txn_in_flight)
       continue;
     if (!holder->node) {
       if (due (membership, p, now))
@@ -482,15 +483,16 @@
     } else if (g_str_equal (holder->node, settings->node_name) && !mine (membership, holder)) {
       /* Our own earlier life held it: nobody else can have acted in between. */
       take (membership, p);
-    } else if (p < settings->size && mine (membership, holder) && p != settings->self &&
-               p < settings->names->len) {
-      const Present *home = g_hash_table_lookup (membership->present, settings->names->pdata[p]);
+    } else if (p < settings->shard_count && mine (membership, holder) &&
+               p != settings->self_index && p < settings->node_names->len) {
+      const Present *home =
+          g_hash_table_lookup (membership->present, settings->node_names->pdata[p]);
       /* Not to one that has just handed it on for silence: the part would go to and fro, closed
        * each time, for as long as its home keeps off. */
       if (home && !home->away && may_hand_back (membership, p, now) &&
           now - MAX (home->since, holder->ours_since) >
               KR_HOME_HEALTHY_MS * G_GINT64_CONSTANT (1000)) {
-        kr_info ("part %u: handing it back to %s", p, (char *) settings->names->pdata[p]);
+        kr_info ("part %u: handing it back to %s", p, (char *) settings->node_names->pdata[p]);
         kr_membership_release (membership, p, KR_HOME_HEALTHY_MS);
       }
     }
@@ -506,7 +508,7 @@
   if (status == 400)
     membership->lease = 0;
   else if (status == 503)
-    membership->presence_at = kr_now () + KR_RETRY_MS * G_GINT64_CONSTANT (1000);
+    membership->presence_at = kr_now () + KR_STATE_RETRY_MS * G_GINT64_CONSTANT (1000);
 }
 
 static void
@@ -520,12 +522,12 @@
               json_pack ("{ss sb sI}", "Inc", membership->incarnation, "Away", membership->away,
                          "Lease", (json_int_t) membership->lease),
               membership->lease);
-  kr_state_commit (membership->state, txn, KR_FIRST, KR_STATE_TIMEOUT_MS, membership->cancel,
+  kr_state_commit (membership->state, txn, KR_QUEUE_HIGH, KR_STATE_TIMEOUT_MS, membership->cancel,
                    node_key_done, membership);
 }
 
 void
-kr_membership_refresh (KrMembership *membership)
+kr_membership_refresh_presence (KrMembership *membership)
 {
   if (membership->seen && membership->lease && kr_now () >= membership->presence_at)
     put_presence (membership);
@@ -551,7 +553,7 @@
 must_give_up (KrMembership *membership)
 {
   double unseen_s = (double) (kr_now () - membership->unseen_since) / G_USEC_PER_SEC;
-  if (membership->seen || !membership->lease || unseen_s < KR_UNREAD_S)
+  if (membership->seen || !membership->lease || unseen_s < KR_OWNERS_UNREAD_MAX_S)
     return FALSE;
   if (!membership->given_up)
     kr_info ("state: our lease stands, but c/ could not be read for %.0f s, giving our keys up",
@@ -567,8 +569,8 @@
   if (!membership->lease_busy && !must_give_up (membership)) {
     membership->lease_busy = TRUE;
     membership->renewal_sent = kr_now ();
-    kr_state_lease (membership->state, membership->lease, KR_NODE_LEASE_MS, membership->cancel,
-                    lease_done, membership);
+    kr_state_grant_or_renew_lease (membership->state, membership->lease, KR_NODE_LEASE_MS,
+                                   membership->cancel, lease_done, membership);
   }
   return G_SOURCE_CONTINUE;
 }
@@ -586,47 +588,47 @@
 stood_still (gpointer data)
 {
   KrMembership *membership = data;
-  g_autofree gboolean *ours = g_new0 (gboolean, membership->settings->size);
+  g_autofree gboolean *ours = g_new0 (gboolean, membership->settings->shard_count);
 
   kr_info ("%s stood still, and begins anew", membership->settings->node_name);
-  for (guint p = 0; p < membership->settings->size; p++)
+  for (guint p = 0; p < membership->settings->shard_count; p++)
     ours[p] = kr_membership_owns (membership, p);
   g_free (membership->incarnation);
   membership->incarnation = incarnation_new ();
   membership->seen = membership->shown = FALSE;
   membership->unseen_since = kr_now ();
-  for (guint p = 0; p < membership->settings->size; p++)
+  for (guint p = 0; p < membership->settings->shard_count; p++)
     if (ours[p])
       membership->events.holder_changed (p, membership->data);
-  kr_membership_rescan (membership);
+  kr_membership_relist (membership);
   return G_SOURCE_CONTINUE;
 }
 
 KrMembership *
-kr_membership_new (const KrSettings *settings, KrState *state, KrRecords *records,
+kr_membership_new (const KrSettings *settings, KrStateClient *state, KrMachineRecords *records,
                    GCancellable *cancel, const KrMembershipEvents *events, gpointer data)
 {
   KrMembership *membership = g_new0 (KrMembership, 1);
   membership->settings = settings;
   membership->state = state;
-  membership->cancel = kr_cancellable_child (cancel);
+  membership->cancel = kr_cancellable_new_child (cancel);
   membership->events = *events;
   membership->data = data;
   membership->incarnation = incarnation_new ();
   membership->unseen_since = kr_now ();
-  membership->holders = g_new0 (KrHolder, settings->size + 1);
-  for (guint p = 0; p <= settings->size; p++)
+  membership->holders = g_new0 (KrHolder, settings->shard_count + 1);
+  for (guint p = 0; p <= settings->shard_count; p++)
     membership->holders[p].free_since = kr_now ();
   membership->records = records;
-  membership->claims = g_new0 (KrClaim, settings->size);
+  membership->claims = g_new0 (KrOwnerHistory, settings->shard_count);
   membership->present = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
   membership->follow =
-      kr_follow_new (state, "c/", membership->cancel, on_scan, on_event, membership);
-  kr_follow_rescan (membership->follow);
+      kr_watch_new (state, "c/", membership->cancel, on_scan, on_event, membership);
+  kr_watch_relist (membership->follow);
   renew (membership);
   membership->lease_timer = kr_timer_add (KR_NODE_RENEW_MS, renew, membership);
-  membership->duty_timer = kr_timer_add (KR_DUTY_MS, duty, membership);
-  kr_stall_watch (KR_STALL_MS, stood_still, membership);
+  membership->duty_timer = kr_timer_add (KR_RECONCILE_MS, duty, membership);
+  kr_stall_detector_add (KR_PROCESS_STALL_MS, stood_still, membership);
   return membership;
 }
 
@@ -636,5 +638,5 @@
   kr_timer_remove (membership->lease_timer);
   kr_timer_remove (membership->duty_timer);
   g_cancellable_cancel (membership->cancel);
-  kr_follow_stop (membership->follow);
+  kr_watch_stop (membership->follow);
 }
--- a/src/node.c
+++ b/src/node.c
@@ -3,15 +3,15 @@
 #include "clock.h"
 #include "constants.h"
 #include "log.h"
-#include "part.h"
-#include "rent.h"
+#include "shard.h"
+#include "provisioner.h"
 #include <string.h>
 
-const KrType *
-kr_node_type (KrNode *node, const char *name)
+const KrMachineType *
+kr_node_machine_type (KrNode *node, const char *name)
 {
-  for (guint i = 0; node->types && i < node->types->len; i++) {
-    const KrType *type = node->types->pdata[i];
+  for (guint i = 0; node->machine_types && i < node->machine_types->len; i++) {
+    const KrMachineType *type = node->machine_types->pdata[i];
     if (g_str_equal (type->name, name))
       return type;
   }
@@ -19,9 +19,9 @@
 }
 
 guint
-kr_node_worker_conns (const KrSettings *settings)
+kr_node_worker_connections (const KrSettings *settings)
 {
-  return MAX (KR_FENCE_WINDOW, (guint) (settings->sockets * KR_WORKER_SOCKET_SHARE));
+  return MAX (KR_FENCE_PARALLEL_MIN, (guint) (settings->sockets * KR_WORKER_SOCKET_SHARE));
 }
 
 /* --- shares of the budgets ------------------------------------------------------------ */
@@ -29,7 +29,7 @@
 static guint
 busy_parts (const KrNode *node)
 {
-  return MIN (node->settings->teams->len, node->settings->size);
+  return MIN (node->settings->teams->len, node->settings->shard_count);
 }
 
 static gboolean
@@ -40,32 +40,32 @@
 
 /* A node's share of a limit that holds for all, by the keys that it has as far as we know. */
 static double
-share_of (KrNode *own_node, const char *name, double node, double part, double lead)
+share_of (KrNode *own_node, const char *name, double node, double shard, double lead)
 {
   double own = node + (holds (kr_membership_leader (own_node->membership), name) ? lead : 0);
   for (guint p = 0; p < busy_parts (own_node); p++)
-    own += holds (kr_membership_holder (own_node->membership, p), name) ? part : 0;
-  return own / (own_node->settings->size * node + busy_parts (own_node) * part + lead);
+    own += holds (kr_membership_holder (own_node->membership, p), name) ? shard : 0;
+  return own / (own_node->settings->shard_count * node + busy_parts (own_node) * shard + lead);
 }
 
 static double
 state_share (KrNode *node, const char *name)
 {
-  return share_of (node, name, KR_STATE_WEIGHT_NODE, KR_STATE_WEIGHT_PART, KR_STATE_WEIGHT_LEAD);
+  return share_of (node, name, KR_STATE_WEIGHT_NODE, KR_STATE_WEIGHT_SHARD, KR_STATE_WEIGHT_LEADER);
 }
 
 double
-kr_node_base_writes (KrNode *node, const char *name)
+kr_node_base_write_rate (KrNode *node, const char *name)
 {
   return state_share (node, name) * node->settings->state_write_rps;
 }
 
 double
-kr_node_waiting_writes (KrNode *node)
+kr_node_queued_writes (KrNode *node)
 {
-  double waiting = kr_state_waiting_writes (node->state);
-  for (guint p = 0; p < node->settings->size; p++)
-    waiting += node->parts[p] ? kr_part_waiting_ends (node->parts[p]) : 0;
+  double waiting = kr_state_queued_writes (node->state_client);
+  for (guint p = 0; p < node->settings->shard_count; p++)
+    waiting += node->shards[p] ? kr_shard_pending_end_writes (node->shards[p]) : 0;
   return waiting;
 }
 
@@ -76,92 +76,95 @@
 set_shares (KrNode *node)
 {
   const char *own = node->settings->node_name;
-  double writes = kr_now () < node->writes_until ? node->writes : kr_node_base_writes (node, own);
-  kr_state_set_rates (node->state, state_share (node, own) * node->settings->state_rps, writes);
-  kr_cloud_set_share (node->cloud, share_of (node, own, KR_CLOUD_WEIGHT_NODE, KR_CLOUD_WEIGHT_PART,
-                                             KR_CLOUD_WEIGHT_LEAD));
+  double writes = kr_now () < node->allotment_expires_at ? node->allotted_write_rate
+                                                         : kr_node_base_write_rate (node, own);
+  kr_state_set_rates (node->state_client, state_share (node, own) * node->settings->state_rps,
+                      writes);
+  kr_cloud_set_rate_share (
+      node->cloud_client,
+      share_of (node, own, KR_CLOUD_WEIGHT_NODE, KR_CLOUD_WEIGHT_SHARD, KR_CLOUD_WEIGHT_LEADER));
 }
 
 void
-kr_node_allot_writes (KrNode *node, double writes)
+kr_node_set_write_rate (KrNode *node, double writes)
 {
-  node->writes = writes;
-  node->writes_until = kr_now () + (gint64) (KR_BUDGET_VALID_S * G_USEC_PER_SEC);
+  node->allotted_write_rate = writes;
+  node->allotment_expires_at = kr_now () + (gint64) (KR_BUDGET_VALID_S * G_USEC_PER_SEC);
   set_shares (node);
 }
 
 /* --- membership's events ------------------------------------------------------------- */
 static void
-holder_changed (guint part, gpointer data)
+holder_changed (guint shard, gpointer data)
 {
   KrNode *node = data;
-  const KrHolder *holder = kr_membership_holder (node->membership, part);
-  KrPart *p = node->parts[part];
-  gboolean ours = kr_membership_owns (node->membership, part), any = FALSE;
+  const KrHolder *holder = kr_membership_holder (node->membership, shard);
+  KrShard *p = node->shards[shard];
+  gboolean ours = kr_membership_owns (node->membership, shard), any = FALSE;
 
-  if (p && ours && holder->from == kr_part_token (p)) {
-    kr_part_renewed (p, holder->revision);
+  if (p && ours && holder->replaced_revision == kr_shard_token (p)) {
+    kr_shard_set_token (p, holder->revision);
     return;
   }
   if (p)
-    kr_part_drop (p);
-  node->parts[part] = ours ? kr_part_new (node, part, holder->revision) : NULL;
-  for (guint i = 0; i < node->settings->size; i++)
-    any |= node->parts[i] != NULL;
+    kr_shard_close (p);
+  node->shards[shard] = ours ? kr_shard_new (node, shard, holder->revision) : NULL;
+  for (guint i = 0; i < node->settings->shard_count; i++)
+    any |= node->shards[i] != NULL;
   if (!any)
-    kr_follow_stop (node->jobs);
+    kr_watch_stop (node->job_watch);
   set_shares (node);
 }
 
 static void
-record_changed (guint part, gpointer data)
+record_changed (guint shard, gpointer data)
 {
   KrNode *node = data;
-  if (node->parts[part])
-    kr_part_record_changed (node->parts[part]);
+  if (node->shards[shard])
+    kr_shard_record_changed (node->shards[shard]);
 }
 
 static void
 machine_left (const char *machine, gpointer data)
 {
   KrNode *node = data;
-  if (node->rent)
-    kr_rent_left (node->rent, machine);
+  if (node->provisioner)
+    kr_provisioner_machine_removed (node->provisioner, machine);
 }
 
 static void
-needs_told (guint part, json_t *value, gpointer data)
+needs_told (guint shard, json_t *value, gpointer data)
 {
   KrNode *node = data;
-  kr_rent_needs (node->rent, part, value);
+  kr_provisioner_note_summary (node->provisioner, shard, value);
 }
 
 static void
 scanned (gpointer data)
 {
   KrNode *node = data;
-  kr_rent_scanned (node->rent);
-  for (guint p = 0; p < node->settings->size; p++)
-    if (node->parts[p])
-      kr_part_scanned (node->parts[p]);
+  kr_provisioner_records_relisted (node->provisioner);
+  for (guint p = 0; p < node->settings->shard_count; p++)
+    if (node->shards[p])
+      kr_shard_membership_relisted (node->shards[p]);
 }
 
 static void
 jobs_scanned (json_t *items, guint64 revision, gpointer data)
 {
   KrNode *node = data;
-  for (guint p = 0; p < node->settings->size; p++)
-    if (node->parts[p])
-      kr_part_jobs_scanned (node->parts[p], items);
+  for (guint p = 0; p < node->settings->shard_count; p++)
+    if (node->shards[p])
+      kr_shard_jobs_listed (node->shards[p], items);
 }
 
 static void
-job_event (const KrItem *item, gpointer data)
+job_event (const KrKeyValue *item, gpointer data)
 {
   KrNode *node = data;
-  for (guint p = 0; p < node->settings->size; p++)
-    if (node->parts[p])
-      kr_part_job_event (node->parts[p], item);
+  for (guint p = 0; p < node->settings->shard_count; p++)
+    if (node->shards[p])
+      kr_shard_job_event (node->shards[p], item);
 }
 
 /* --- requests ------------------------------------------------------------------------ */
@@ -174,20 +177,20 @@
     kr_request_reply (request, 400, kr_wire_error ("not a report"), 0);
     return;
   }
-  const KrMember *member = kr_records_find (node->records, r->machine);
-  gint part = member ? (gint) member->part : -1;
-  if (part >= 0 && node->parts[part]) {
-    kr_part_beat (node->parts[part], request, r);
+  const KrMachineRecord *member = kr_machine_records_find (node->machine_records, r->machine);
+  gint shard = member ? (gint) member->shard : -1;
+  if (shard >= 0 && node->shards[shard]) {
+    kr_shard_handle_report (node->shards[shard], request, r);
     return;
   }
-  const KrHolder *holder = part >= 0 ? kr_membership_holder (node->membership, (guint) part)
-                                     : kr_membership_leader (node->membership);
+  const KrHolder *holder = shard >= 0 ? kr_membership_holder (node->membership, (guint) shard)
+                                      : kr_membership_leader (node->membership);
   gboolean self = holder->node && g_str_equal (holder->node, node->settings->node_name);
-  if (part < 0 && self)
-    kr_rent_seen (node->rent, r);
+  if (shard < 0 && self)
+    kr_provisioner_unassigned_reported (node->provisioner, r);
   /* Without the state service while others have it, what we knew may be over: a worker would go to
    * and fro between us and an owner that is gone. */
-  gboolean telling = !self && !node->state_cut;
+  gboolean telling = !self && !node->state_unreachable;
   kr_request_reply (request, 421, kr_wire_redirect (telling ? holder->node : NULL), 0);
 }
 
@@ -195,11 +198,11 @@
 static const char *
 unready_cause (const KrNode *node)
 {
-  if (!kr_membership_seen (node->membership))
+  if (!kr_membership_is_synced (node->membership))
     return "who owns what is not read yet";
-  if (!node->types)
+  if (!node->machine_types)
     return "machine types are not known yet";
-  if (node->state_cut)
+  if (node->state_unreachable)
     return "peers reach the state service, this node does not";
   return NULL;
 }
@@ -218,9 +221,9 @@
 log_readiness (KrNode *node)
 {
   const char *cause = unready_cause (node);
-  if (cause == node->unready)
+  if (cause == node->not_ready_reason)
     return;
-  node->unready = cause;
+  node->not_ready_reason = cause;
   kr_info ("%s: %s", cause ? "not ready" : "ready", cause ? cause : "taking requests");
 }
 
@@ -234,7 +237,7 @@
   case KR_ROUTE_READY:
     answer_ready (node, request);
     break;
-  case KR_ROUTE_BEAT:
+  case KR_ROUTE_REPORT:
     beat (node, request);
     break;
   case KR_ROUTE_SUBMIT:
@@ -258,7 +261,7 @@
 static gboolean
 state_heard (KrNode *node)
 {
-  return kr_state_silence (node->state) < KR_STATE_SILENCE_S;
+  return kr_state_seconds_since_answer (node->state_client) < KR_STATE_UNREACHABLE_S;
 }
 
 static void
@@ -266,22 +269,27 @@
 {
   KrNode *node = data;
   if (g_str_equal (kr_request_path (request), KR_PEER_SUMMARIES))
-    kr_request_reply (request, 200, kr_rent_summaries (node->rent), 0);
+    kr_request_reply (request, 200, kr_provisioner_build_summaries (node->provisioner), 0);
   else if (g_str_equal (kr_request_path (request), KR_PEER_BUDGET))
-    kr_request_reply (request, kr_rent_budget (node->rent, kr_request_json (request)), NULL, 0);
-  else if (g_str_equal (kr_request_path (request), KR_PEER_WISHES)) {
+    kr_request_reply (
+        request, kr_provisioner_handle_write_budget (node->provisioner, kr_request_json (request)),
+        NULL, 0);
+  else if (g_str_equal (kr_request_path (request), KR_PEER_DIRECTIVES)) {
     json_t *body = kr_request_json (request);
     guint64 leader = (guint64) json_integer_value (json_object_get (body, "Leader"));
-    gboolean done = kr_rent_fulfil (node->rent, json_object_get (body, "Wishes"), leader);
+    gboolean done = kr_provisioner_apply_directives (node->provisioner,
+                                                     json_object_get (body, "Wishes"), leader);
     kr_request_reply (request, done ? 200 : 409, NULL, 0);
   } else if (g_str_equal (kr_request_path (request), KR_PEER_CANCELLATIONS))
-    kr_request_reply (request, kr_cancel_answer (node, kr_request_json (request)), NULL, 0);
+    kr_request_reply (request, kr_cancel_handle_request (node, kr_request_json (request)), NULL, 0);
   else if (g_str_equal (kr_request_path (request), KR_PEER_TAKEOVERS))
-    kr_request_reply (request, kr_takeover_answer (node, kr_request_json (request)), NULL, 0);
+    kr_request_reply (request, kr_takeover_handle_request (node, kr_request_json (request)), NULL,
+                      0);
   else if (g_str_equal (kr_request_path (request), KR_PEER_HEALTH))
     kr_request_reply (request, 200,
-                      json_pack ("{sf si}", "Silence", kr_state_silence (node->state), "LostCalls",
-                                 (int) kr_calls_lost ()),
+                      json_pack ("{sf si}", "Silence",
+                                 kr_state_seconds_since_answer (node->state_client), "LostCalls",
+                                 (int) kr_http_client_lost_calls ()),
                       0);
   else
     kr_request_reply (request, 404, NULL, 0);
@@ -293,9 +301,9 @@
   KrNode *node = data;
   /* At the beginning of an outage for all some have heard it a little later than we: that is not
    * served, as only a node that has heard it within the period of its own renewals is. */
-  if (!node->state_cut && !state_heard (node) && silence_s < KR_PEER_SERVED_S) {
+  if (!node->state_unreachable && !state_heard (node) && silence_s < KR_PEER_REACHES_STATE_S) {
     kr_info ("state: a peer reaches it and we do not, leaving the balancer");
-    node->state_cut = TRUE;
+    node->state_unreachable = TRUE;
   }
 }
 
@@ -308,7 +316,7 @@
   set_shares (node);
   log_readiness (node);
   if (state_heard (node))
-    node->state_cut = FALSE;
+    node->state_unreachable = FALSE;
   kr_detector_tick (node->detector);
   return G_SOURCE_CONTINUE;
 }
@@ -318,39 +326,42 @@
 kr_node_new (const KrSettings *settings, GError **error)
 {
   const KrMembershipEvents events = { holder_changed, needs_told, scanned };
-  const KrRecordEvents record_events = { record_changed, machine_left };
+  const KrMachineRecordEvents record_events = { record_changed, machine_left };
   KrNode *node = g_new0 (KrNode, 1);
   guint conns = (guint) (settings->sockets * KR_CLIENT_SOCKET_SHARE);
 
   node->settings = settings;
   node->loop = g_main_loop_new (NULL, FALSE);
   node->cancel = g_cancellable_new ();
-  node->parts = g_new0 (KrPart *, settings->size);
-  node->state = kr_state_new (settings);
-  node->cloud = kr_cloud_new (settings);
-  node->workers = kr_client_new (kr_node_worker_conns (settings), 2, KR_WORKER_IDLE_S);
-  node->peers = kr_client_new (KR_PEER_CONNS * MAX (1, settings->others->len), KR_PEER_CONNS,
-                               KR_CLIENT_IDLE_S);
-  node->jobs = kr_follow_new (node->state, "job/", node->cancel, jobs_scanned, job_event, node);
-  node->records = kr_records_new (settings, &record_events, node);
-  node->membership =
-      kr_membership_new (settings, node->state, node->records, node->cancel, &events, node);
-  node->detector = kr_detector_new (settings, node->state, node->peers, node->membership,
-                                    node->cancel, peer_heard, node);
-  node->rent = kr_rent_new (node);
+  node->shards = g_new0 (KrShard *, settings->shard_count);
+  node->state_client = kr_state_new (settings);
+  node->cloud_client = kr_cloud_new (settings);
+  node->worker_client =
+      kr_http_client_new (kr_node_worker_connections (settings), 2, KR_WORKER_CONN_IDLE_S);
+  node->peer_client = kr_http_client_new (KR_PEER_CONNS * MAX (1, settings->peers->len),
+                                          KR_PEER_CONNS, KR_CONN_IDLE_S);
+  node->job_watch =
+      kr_watch_new (node->state_client, "job/", node->cancel, jobs_scanned, job_event, node);
+  node->machine_records = kr_machine_records_new (settings, &record_events, node);
+  node->membership = kr_membership_new (settings, node->state_client, node->machine_records,
+                                        node->cancel, &events, node);
+  node->detector = kr_detector_new (settings, node->state_client, node->peer_client,
+                                    node->membership, node->cancel, peer_heard, node);
+  node->provisioner = kr_provisioner_new (node);
   node->api = kr_api_new (node);
-  node->public_server = kr_server_new (settings->client_listen, conns, KR_CLIENT_IDLE_S,
-                                       node->cancel, serve_public, node, error);
+  node->public_server = kr_http_server_new (settings->client_listen, conns, KR_CONN_IDLE_S,
+                                            node->cancel, serve_public, node, error);
   if (node->public_server)
-    node->peer_server = kr_server_new (settings->internal_addr, 4 * MAX (1, settings->others->len),
-                                       KR_CLIENT_IDLE_S, node->cancel, serve_peer, node, error);
+    node->peer_server =
+        kr_http_server_new (settings->internal_addr, 4 * MAX (1, settings->peers->len),
+                            KR_CONN_IDLE_S, node->cancel, serve_peer, node, error);
   if (!node->peer_server) {
     kr_node_free (node);
     return NULL;
   }
-  node->health = kr_timer_add (KR_TICK_MS, check_health, node);
+  node->health_timer = kr_timer_add (KR_TICK_MS, check_health, node);
   kr_info ("%s in %s, part %u of %u, users on %s", settings->node_name, settings->zone,
-           settings->self, settings->size, settings->client_listen);
+           settings->self_index, settings->shard_count, settings->client_listen);
   return node;
 }
 
@@ -365,15 +376,15 @@
 kr_node_free (KrNode *node)
 {
   g_cancellable_cancel (node->cancel);
-  kr_timer_clear (&node->health);
+  kr_timer_clear (&node->health_timer);
   if (node->public_server)
-    kr_server_free (node->public_server);
+    kr_http_server_free (node->public_server);
   if (node->peer_server)
-    kr_server_free (node->peer_server);
+    kr_http_server_free (node->peer_server);
   kr_detector_free (node->detector);
-  kr_rent_free (node->rent);
+  kr_provisioner_free (node->provisioner);
   kr_api_free (node->api);
   kr_membership_free (node->membership);
-  kr_records_free (node->records);
+  kr_machine_records_free (node->machine_records);
   g_main_loop_unref (node->loop);
 }
--- a/src/claim.c
+++ b/src/owner-history.c
@@ -1,4 +1,4 @@
-#include "claim.h"
+#include "owner-history.h"
 
 static gboolean
 is_node (const KrSettings *settings, const char *name)
@@ -26,7 +26,8 @@
 }
 
 void
-kr_claim_read (KrClaim *claim, json_t *value, guint64 revision, const KrSettings *settings)
+kr_owner_history_update (KrOwnerHistory *claim, json_t *value, guint64 revision,
+                         const KrSettings *settings)
 {
   const char *holder = json_string_value (json_object_get (value, "Holder"));
   json_t *earlier = json_object_get (value, "Earlier");
@@ -34,34 +35,35 @@
   if (revision <= claim->revision)
     return;
   g_free (claim->holder);
-  g_clear_pointer (&claim->earlier, g_ptr_array_unref);
+  g_clear_pointer (&claim->earlier_owners, g_ptr_array_unref);
   claim->revision = revision;
   claim->holder = is_node (settings, holder) ? g_strdup (holder) : NULL;
-  claim->settled = claim->holder && json_is_true (json_object_get (value, "Settled"));
+  claim->all_fenced = claim->holder && json_is_true (json_object_get (value, "Settled"));
   /* A settled claim has no earlier owners; that of an older node does not say so. */
-  if (claim->settled && !earlier)
-    claim->earlier = g_ptr_array_new_with_free_func (g_free);
+  if (claim->all_fenced && !earlier)
+    claim->earlier_owners = g_ptr_array_new_with_free_func (g_free);
   else if (claim->holder)
-    claim->earlier = read_names (earlier, settings);
+    claim->earlier_owners = read_names (earlier, settings);
 }
 
 GPtrArray *
-kr_claim_former_owners (const KrClaim *claim)
+kr_owner_history_former_owners (const KrOwnerHistory *claim)
 {
-  if (!claim->holder || !claim->earlier)
+  if (!claim->holder || !claim->earlier_owners)
     return NULL;
   GPtrArray *former = g_ptr_array_new_with_free_func (g_free);
   g_ptr_array_add (former, g_strdup (claim->holder));
-  for (guint i = 0; i < claim->earlier->len; i++)
-    if (!g_ptr_array_find_with_equal_func (former, claim->earlier->pdata[i], g_str_equal, NULL))
-      g_ptr_array_add (former, g_strdup (claim->earlier->pdata[i]));
+  for (guint i = 0; i < claim->earlier_owners->len; i++)
+    if (!g_ptr_array_find_with_equal_func (former, claim->earlier_owners->pdata[i], g_str_equal,
+                                           NULL))
+      g_ptr_array_add (former, g_strdup (claim->earlier_owners->pdata[i]));
   return former;
 }
 
 json_t *
-kr_claim_taken_over (const KrClaim *claim, const char *node)
+kr_owner_history_takeover_value (const KrOwnerHistory *claim, const char *node)
 {
-  g_autoptr (GPtrArray) former = kr_claim_former_owners (claim);
+  g_autoptr (GPtrArray) former = kr_owner_history_former_owners (claim);
   json_t *value = json_pack ("{ss sb}", "Holder", node, "Settled", 0);
   if (!former)
     return value;
@@ -74,7 +76,7 @@
 }
 
 json_t *
-kr_claim_without_earlier (const char *node, gboolean settled)
+kr_owner_history_value_without_earlier (const char *node, gboolean settled)
 {
   return json_pack ("{ss sb s[]}", "Holder", node, "Settled", settled, "Earlier");
 }
--- a/src/place.c
+++ b/src/placement.c
@@ -1,42 +1,42 @@
-#include "place.h"
+#include "placement.h"
 
 #define SLACK 1e-6 /* amounts are decimal numbers; sums of them are not exact */
 
 gboolean
-kr_place_has_room (const KrRoom *free, const KrSpec *spec)
+kr_resources_fit (const KrResources *free, const KrJobSpec *spec)
 {
   return spec->cpus <= free->cpus + SLACK && spec->gpus <= free->gpus + SLACK &&
          spec->mem_gb <= free->mem_gb + SLACK;
 }
 
 gboolean
-kr_place_fits_type (const KrSpec *spec, const KrType *type)
+kr_placement_fits_type (const KrJobSpec *spec, const KrMachineType *type)
 {
-  KrRoom whole = { type->cpus, type->gpus, type->mem_gb };
+  KrResources whole = { type->cpus, type->gpus, type->mem_gb };
   if (spec->types && !g_strv_contains ((const char *const *) spec->types, type->name))
     return FALSE;
   if (spec->zone && !g_strv_contains ((const char *const *) type->zones, spec->zone))
     return FALSE;
-  return kr_place_has_room (&whole, spec);
+  return kr_resources_fit (&whole, spec);
 }
 
 gboolean
-kr_place_allowed (const KrSpec *spec, const char *type, const char *zone, gboolean spot)
+kr_placement_allowed (const KrJobSpec *spec, const char *type, const char *zone, gboolean spot)
 {
   return (!spec->types || g_strv_contains ((const char *const *) spec->types, type)) &&
-         (!spec->zone || g_str_equal (spec->zone, zone)) && (!spot || spec->spot);
+         (!spec->zone || g_str_equal (spec->zone, zone)) && (!spot || spec->spot_allowed);
 }
 
 gboolean
-kr_place_spread_ok (const KrSpec *spec, const KrSpread *spread)
+kr_placement_spread_ok (const KrJobSpec *spec, const KrZoneSpread *spread)
 {
-  if (spec->one_zone && spread->total != spread->here)
+  if (spec->one_zone && spread->total != spread->in_zone)
     return FALSE;
-  return !spec->apart || spread->here + 1 <= (spec->tasks + 1) / 2;
+  return !spec->spread_zones || spread->in_zone + 1 <= (spec->tasks + 1) / 2;
 }
 
 void
-kr_place_take (KrRoom *r, const KrSpec *spec)
+kr_resources_subtract (KrResources *r, const KrJobSpec *spec)
 {
   r->cpus -= spec->cpus;
   r->gpus -= spec->gpus;
@@ -44,7 +44,7 @@
 }
 
 void
-kr_place_give (KrRoom *r, const KrSpec *spec)
+kr_resources_add (KrResources *r, const KrJobSpec *spec)
 {
   r->cpus += spec->cpus;
   r->gpus += spec->gpus;
@@ -52,38 +52,39 @@
 }
 
 gboolean
-kr_place_team_ok (const KrTeam *team, const KrRoom *used, const KrSpec *spec)
+kr_placement_task_within_quota (const KrTeam *team, const KrResources *used, const KrJobSpec *spec)
 {
   return (team->cpus_max <= 0 || used->cpus + spec->cpus <= team->cpus_max + SLACK) &&
          (team->gpus_max <= 0 || used->gpus + spec->gpus <= team->gpus_max + SLACK);
 }
 
 gboolean
-kr_place_job_ok (const KrTeam *team, const KrSpec *spec)
+kr_placement_job_within_quota (const KrTeam *team, const KrJobSpec *spec)
 {
-  double n = spec->form == KR_FORM_ARRAY ? 1 : spec->tasks;
+  double n = spec->kind == KR_JOB_KIND_ARRAY ? 1 : spec->tasks;
   return (team->cpus_max <= 0 || n * spec->cpus <= team->cpus_max + SLACK) &&
          (team->gpus_max <= 0 || n * spec->gpus <= team->gpus_max + SLACK);
 }
 
 static gboolean
-within_guarantee (const KrTeam *team, const KrRoom *used, double cpus, double gpus)
+within_guarantee (const KrTeam *team, const KrResources *used, double cpus, double gpus)
 {
   return used->cpus + cpus <= team->cpus + SLACK && used->gpus + gpus <= team->gpus + SLACK;
 }
 
 gboolean
-kr_place_may_stop (const KrSpec *spec, const KrTeam *team, const KrRoom *used, const KrSpec *victim,
-                   const KrTeam *victim_team, const KrRoom *victim_used)
+kr_placement_may_preempt (const KrJobSpec *spec, const KrTeam *team, const KrResources *used,
+                          const KrJobSpec *victim, const KrTeam *victim_team,
+                          const KrResources *victim_used)
 {
-  if (victim->rank < spec->rank)
+  if (victim->priority < spec->priority)
     return TRUE;
   return team != victim_team && within_guarantee (team, used, spec->cpus, spec->gpus) &&
          !within_guarantee (victim_team, victim_used, 0, 0);
 }
 
 double
-kr_place_share (const KrSpec *spec, const KrType *type)
+kr_placement_machine_share (const KrJobSpec *spec, const KrMachineType *type)
 {
   double share = type->cpus > 0 ? spec->cpus / type->cpus : 0;
   if (type->mem_gb > 0)
--- a/src/rank.h
+++ b/src/ranking.h
@@ -4,18 +4,18 @@
 #pragma once
 #include "estimate.h"
 
-typedef enum { KR_CLASS_HELD, KR_CLASS_LATE, KR_CLASS_NODATA, KR_CLASS_ADJUST } KrClass;
+typedef enum { KR_TIER_SERVICE, KR_TIER_LATE, KR_TIER_NO_DATA, KR_TIER_ON_TIME } KrRankingTier;
 
 typedef struct {
-  KrClass klass;
+  KrRankingTier tier;
   double key;     /* larger goes first within a class */
   const char *id; /* tie-break: any, but always the same */
-} KrRankKey;
+} KrRankingKey;
 
-KrRankKey kr_rank_key (const KrEstimateInput *input, const char *id);
+KrRankingKey kr_ranking_key (const KrEstimateInput *input, const char *id);
 /* Negative: a goes first. */
-int kr_rank_compare (const KrRankKey *a, const KrRankKey *b);
+int kr_ranking_compare (const KrRankingKey *a, const KrRankingKey *b);
 /* Slots that the min variant wants beyond those running: all unstarted tasks for jobs late or
  * without data, else slots needed, rounded up, floored at zero (at one if nothing runs), at most
  * the unstarted. */
-double kr_rank_want (const KrEstimateInput *input);
+double kr_ranking_wanted_slots (const KrEstimateInput *input);
--- a/src/flow.c
+++ b/src/rate-limiter.c
@@ -1,4 +1,4 @@
-#include "flow.h"
+#include "rate-limiter.h"
 #include "clock.h"
 #include "constants.h"
 
@@ -10,7 +10,7 @@
 }
 
 GCancellable *
-kr_cancellable_child (GCancellable *parent)
+kr_cancellable_new_child (GCancellable *parent)
 {
   GCancellable *child = g_cancellable_new ();
   if (parent)
@@ -21,21 +21,21 @@
 /* --- bucket -------------------------------------------------------------------------- */
 typedef struct {
   double cost;
-  KrBucketGo go;
+  KrRateLimiterFunc go;
   gpointer data;
 } Waiter;
 
-struct KrBucket {
+struct KrRateLimiter {
   double rate, burst_s, burst, tokens;
   gint64 at;
   GQueue queue, last; /* last: goes when none of the others waits */
   guint timer;
 };
 
-KrBucket *
-kr_bucket_new (double rate, double burst_s)
+KrRateLimiter *
+kr_rate_limiter_new (double rate, double burst_s)
 {
-  KrBucket *bucket = g_new0 (KrBucket, 1);
+  KrRateLimiter *bucket = g_new0 (KrRateLimiter, 1);
   bucket->rate = rate;
   bucket->burst_s = burst_s;
   bucket->burst = bucket->tokens = MAX (1.0, rate * burst_s);
@@ -46,7 +46,7 @@
 }
 
 void
-kr_bucket_free (KrBucket *bucket)
+kr_rate_limiter_free (KrRateLimiter *bucket)
 {
   kr_timer_clear (&bucket->timer);
   g_queue_clear_full (&bucket->queue, g_free);
@@ -55,7 +55,7 @@
 }
 
 static void
-refill (KrBucket *bucket)
+refill (KrRateLimiter *bucket)
 {
   gint64 now = kr_now ();
   bucket->tokens =
@@ -64,29 +64,29 @@
 }
 
 double
-kr_bucket_rate (KrBucket *bucket)
+kr_rate_limiter_rate (KrRateLimiter *bucket)
 {
   return bucket->rate;
 }
 
 double
-kr_bucket_burst (KrBucket *bucket)
+kr_rate_limiter_burst (KrRateLimiter *bucket)
 {
   return bucket->burst;
 }
 
 double
-kr_bucket_spare (KrBucket *bucket)
+kr_rate_limiter_spare (KrRateLimiter *bucket)
 {
   refill (bucket);
   if (bucket->queue.length)
     return 0;
-  double reserve = MAX (1, bucket->burst * KR_RESERVE_SHARE);
+  double reserve = MAX (1, bucket->burst * KR_BURST_RESERVE_SHARE);
   return MAX (bucket->tokens >= bucket->burst ? 1 : 0, bucket->tokens - reserve);
 }
 
 double
-kr_bucket_waiting (KrBucket *bucket)
+kr_rate_limiter_queued_cost (KrRateLimiter *bucket)
 {
   double cost = 0;
   for (GList *l = bucket->queue.head; l; l = l->next)
@@ -95,22 +95,22 @@
 }
 
 double
-kr_bucket_wait_s (KrBucket *bucket)
+kr_rate_limiter_wait_s (KrRateLimiter *bucket)
 {
   refill (bucket);
-  return MAX (0, kr_bucket_waiting (bucket) - bucket->tokens) / bucket->rate;
+  return MAX (0, kr_rate_limiter_queued_cost (bucket) - bucket->tokens) / bucket->rate;
 }
 
 static gboolean serve (gpointer data);
 
 static GQueue *
-next_queue (KrBucket *bucket)
+next_queue (KrRateLimiter *bucket)
 {
   return bucket->queue.length ? &bucket->queue : &bucket->last;
 }
 
 static void
-arm (KrBucket *bucket)
+arm (KrRateLimiter *bucket)
 {
   Waiter *w = g_queue_peek_head (next_queue (bucket));
   if (!w || bucket->timer)
@@ -124,7 +124,7 @@
 static gboolean
 serve (gpointer data)
 {
-  KrBucket *bucket = data;
+  KrRateLimiter *bucket = data;
   Waiter *w;
   bucket->timer = 0;
   refill (bucket);
@@ -140,7 +140,7 @@
 }
 
 void
-kr_bucket_set_rate (KrBucket *bucket, double rate)
+kr_rate_limiter_set_rate (KrRateLimiter *bucket, double rate)
 {
   if (rate == bucket->rate)
     return;
@@ -152,23 +152,25 @@
 }
 
 void
-kr_bucket_take (KrBucket *bucket, double cost, KrTurn turn, KrBucketGo go, gpointer data)
+kr_rate_limiter_acquire (KrRateLimiter *bucket, double cost, KrQueueClass turn,
+                         KrRateLimiterFunc go, gpointer data)
 {
-  GQueue *queue = turn == KR_LAST ? &bucket->last : &bucket->queue;
+  GQueue *queue = turn == KR_QUEUE_LOW ? &bucket->last : &bucket->queue;
   refill (bucket);
-  if ((turn == KR_FIRST || (bucket->queue.length == 0 && queue->length == 0)) &&
+  if ((turn == KR_QUEUE_HIGH || (bucket->queue.length == 0 && queue->length == 0)) &&
       bucket->tokens >= MIN (cost, bucket->burst)) {
     bucket->tokens -= cost;
     go (TRUE, data);
     return;
   }
-  if (queue->length >= MAX (KR_QUEUE_MIN, bucket->rate * KR_QUEUE_S) && turn != KR_FIRST) {
+  if (queue->length >= MAX (KR_LIMITER_QUEUE_MIN, bucket->rate * KR_LIMITER_QUEUE_S) &&
+      turn != KR_QUEUE_HIGH) {
     go (FALSE, data);
     return;
   }
   Waiter *w = g_new (Waiter, 1);
   *w = (Waiter){ cost, go, data };
-  if (turn == KR_FIRST)
+  if (turn == KR_QUEUE_HIGH)
     g_queue_push_head (queue, w);
   else
     g_queue_push_tail (queue, w);
@@ -190,7 +192,7 @@
 }
 
 void
-kr_bucket_leave (KrBucket *bucket, gpointer data)
+kr_rate_limiter_cancel (KrRateLimiter *bucket, gpointer data)
 {
   if (!leave_queue (&bucket->queue, data))
     leave_queue (&bucket->last, data);
--- a/src/rebalance.c
+++ b/src/rebalance.c
@@ -5,7 +5,7 @@
 #define CPU_EPSILON 1e-6 /* CPUs; targets are sums of decimal numbers */
 
 typedef struct {
-  const KrRebalance *in;
+  const KrRebalanceInput *in;
   GPtrArray *supplies;
   gint *chosen;   /* part that the machine shall go to; -1: it stays */
   gboolean up;    /* machines that are up are looked at now, else those that are not */
@@ -24,45 +24,45 @@
 static gboolean
 counts (const KrSupply *machine)
 {
-  return machine->part >= 0 && !machine->going && machine->type;
+  return machine->shard >= 0 && !machine->unavailable && machine->type;
 }
 
 void
-kr_rebalance_count (const GPtrArray *supplies, guint parts, double *have)
+kr_rebalance_count_cpus (const GPtrArray *supplies, guint shards, double *have)
 {
-  memset (have, 0, parts * sizeof *have);
+  memset (have, 0, shards * sizeof *have);
   for (guint i = 0; i < supplies->len; i++) {
     const KrSupply *machine = supplies->pdata[i];
     if (counts (machine))
-      have[machine->to >= 0 && is_free (machine) ? machine->to : machine->part] +=
-          machine->type->cpus;
+      have[machine->target_shard >= 0 && is_free (machine) ? machine->target_shard
+                                                           : machine->shard] += machine->type->cpus;
   }
 }
 
 static void
 count_chosen (Round *round)
 {
-  memset (round->have, 0, round->in->parts * sizeof *round->have);
+  memset (round->have, 0, round->in->shards * sizeof *round->have);
   for (guint i = 0; i < round->supplies->len; i++) {
     const KrSupply *machine = round->supplies->pdata[i];
     if (counts (machine) && (machine->up || !round->up))
-      round->have[round->chosen[i] >= 0 ? round->chosen[i] : machine->part] += machine->type->cpus;
+      round->have[round->chosen[i] >= 0 ? round->chosen[i] : machine->shard] += machine->type->cpus;
   }
 }
 
 static double
-lack (const Round *round, guint part)
+lack (const Round *round, guint shard)
 {
-  return round->in->targets[part] - round->have[part];
+  return round->in->targets[shard] - round->have[shard];
 }
 
 static guint
 most_lacking (const Round *round)
 {
   guint most = 0;
-  for (guint part = 1; part < round->in->parts; part++)
-    if (lack (round, part) > lack (round, most))
-      most = part;
+  for (guint shard = 1; shard < round->in->shards; shard++)
+    if (lack (round, shard) > lack (round, most))
+      most = shard;
   return most;
 }
 
@@ -71,14 +71,15 @@
 static gboolean
 has_none (const Round *round, const KrSupply *machine, guint to)
 {
-  gboolean one_of_several = round->have[machine->part] > machine->type->cpus;
+  gboolean one_of_several = round->have[machine->shard] > machine->type->cpus;
   return round->have[to] <= 0 && round->in->targets[to] > 0 && (round->up || one_of_several);
 }
 
 static gboolean
 is_last (const Round *round, const KrSupply *machine)
 {
-  return round->have[machine->part] <= machine->type->cpus && round->in->targets[machine->part] > 0;
+  return round->have[machine->shard] <= machine->type->cpus &&
+         round->in->targets[machine->shard] > 0;
 }
 
 /* Half a machine is lacking and half a machine is over, and more than that together: with exactly
@@ -87,7 +88,7 @@
 brings_closer (const Round *round, const KrSupply *machine, guint to)
 {
   double cpus = machine->type->cpus, lacking = lack (round, to),
-         over = -lack (round, (guint) machine->part);
+         over = -lack (round, (guint) machine->shard);
   if (has_none (round, machine, to))
     return over >= cpus / 2 || !is_last (round, machine);
   return over >= cpus / 2 && lacking >= cpus / 2 && lacking + over > cpus + CPU_EPSILON &&
@@ -97,20 +98,21 @@
 static gboolean
 may_leave (const Round *round, const KrSupply *machine, guint to)
 {
-  guint part = (guint) machine->part;
+  guint shard = (guint) machine->shard;
   /* A part where nothing waits loses nothing by emptying its machines. */
-  if (is_free (machine) || machine->to == (gint) to || !round->in->waiting[part])
+  if (is_free (machine) || machine->target_shard == (gint) to || !round->in->has_pending[shard])
     return TRUE;
-  return round->in->busy_too && round->leaving[part] < 1 + round->count[part] / KR_LEAVING_PART;
+  return round->in->may_drain_busy &&
+         round->leaving[shard] < 1 + round->count[shard] / KR_REBALANCE_DRAINING_DIVISOR;
 }
 
 /* Larger goes first: what is on its way there already, what goes nowhere, what goes elsewhere. */
 static int
 preference (const KrSupply *machine, guint to)
 {
-  if (machine->to == (gint) to)
+  if (machine->target_shard == (gint) to)
     return 2;
-  return machine->to < 0 ? 1 : 0;
+  return machine->target_shard < 0 ? 1 : 0;
 }
 
 /* Whether `a` should go to the part rather than `b`: those near the new owner, then those that are
@@ -122,7 +124,7 @@
   gboolean a_near = g_strcmp0 (a->zone, zone) == 0, b_near = g_strcmp0 (b->zone, zone) == 0;
   if (preferred != 0)
     return preferred > 0;
-  return a_near != b_near ? a_near : a->rest_s < b->rest_s;
+  return a_near != b_near ? a_near : a->drain_s < b->drain_s;
 }
 
 /* The index of the machine that should go to the part next, or -1. */
@@ -133,7 +135,7 @@
   gint best = -1;
   for (guint i = 0; i < round->supplies->len; i++) {
     const KrSupply *machine = round->supplies->pdata[i];
-    if (!counts (machine) || round->chosen[i] >= 0 || machine->part == (gint) to ||
+    if (!counts (machine) || round->chosen[i] >= 0 || machine->shard == (gint) to ||
         machine->up != round->up || !brings_closer (round, machine, to) ||
         !may_leave (round, machine, to))
       continue;
@@ -148,21 +150,22 @@
 {
   const KrSupply *machine = round->supplies->pdata[index];
   round->chosen[index] = (gint) to;
-  round->leaving[machine->part]++;
-  round->have[machine->part] -= machine->type->cpus;
+  round->leaving[machine->shard]++;
+  round->have[machine->shard] -= machine->type->cpus;
   round->have[to] += machine->type->cpus;
 }
 
 static void
 choose_all (Round *round)
 {
-  guint most_moves = MAX (KR_MOVES_MIN, round->supplies->len / KR_MOVES_SHARE);
+  guint most_moves =
+      MAX (KR_REBALANCE_MOVES_MIN, round->supplies->len / KR_REBALANCE_MOVES_DIVISOR);
   count_chosen (round);
   for (guint moves = 0; moves < most_moves;) {
     guint to = most_lacking (round);
     gint index = best_for (round, to);
     if (index >= 0) {
-      moves += ((KrSupply *) round->supplies->pdata[index])->to != (gint) to;
+      moves += ((KrSupply *) round->supplies->pdata[index])->target_shard != (gint) to;
       choose (round, (guint) index, to);
     } else if (round->up) {
       round->up = FALSE;
@@ -173,25 +176,25 @@
 }
 
 void
-kr_rebalance (const KrRebalance *in, GPtrArray *supplies, KrRebalanceFunc move, gpointer data)
+kr_rebalance (const KrRebalanceInput *in, GPtrArray *supplies, KrRebalanceFunc move, gpointer data)
 {
   g_autofree gint *chosen = g_new (gint, MAX (1, supplies->len));
-  g_autofree double *have = g_new0 (double, in->parts);
-  g_autofree guint *leaving = g_new0 (guint, in->parts), *count = g_new0 (guint, in->parts);
+  g_autofree double *have = g_new0 (double, in->shards);
+  g_autofree guint *leaving = g_new0 (guint, in->shards), *count = g_new0 (guint, in->shards);
   Round round = { in, supplies, chosen, TRUE, have, leaving, count };
 
   for (guint i = 0; i < supplies->len; i++) {
     const KrSupply *machine = supplies->pdata[i];
     chosen[i] = -1;
-    if (machine->part >= 0)
-      count[machine->part]++;
+    if (machine->shard >= 0)
+      count[machine->shard]++;
   }
   choose_all (&round);
   for (guint i = 0; i < supplies->len; i++) {
     KrSupply *machine = supplies->pdata[i];
-    if (machine->to == chosen[i] || !counts (machine))
+    if (machine->target_shard == chosen[i] || !counts (machine))
       continue;
-    machine->to = chosen[i];
-    move (machine, (guint) (chosen[i] >= 0 ? chosen[i] : machine->part), data);
+    machine->target_shard = chosen[i];
+    move (machine, (guint) (chosen[i] >= 0 ? chosen[i] : machine->shard), data);
   }
 }
--- a/src/rebalance.h
+++ b/src/rebalance.h
@@ -1,15 +1,15 @@
 /* Which machines change parts, toward each part's share. Pure. */
 #pragma once
-#include "shares.h"
+#include "allocation.h"
 
 /* What a round of moves goes by; the arrays hold an entry for each part. */
 typedef struct {
-  guint parts;
+  guint shards;
   const double *targets;          /* CPUs that the part should have */
   const char *const *owner_zones; /* zone of the part's owner; NULL: unknown */
-  const gboolean *waiting;        /* tasks wait in the part */
-  gboolean busy_too;              /* further machines in use may be told to run empty and leave */
-} KrRebalance;
+  const gboolean *has_pending;    /* tasks wait in the part */
+  gboolean may_drain_busy;        /* further machines in use may be told to run empty and leave */
+} KrRebalanceInput;
 
 /* `to`: the part that gets the machine; its own: it stays, and is not to leave any more. */
 typedef void (*KrRebalanceFunc) (const KrSupply *machine, guint to, gpointer data);
@@ -27,7 +27,8 @@
  * beside idle ones. A busy machine is told to stay once its move is not needed any more: what was
  * rented meanwhile may serve. With the same targets, a further round changes nothing.
  */
-void kr_rebalance (const KrRebalance *in, GPtrArray *supplies, KrRebalanceFunc move, gpointer data);
+void kr_rebalance (const KrRebalanceInput *in, GPtrArray *supplies, KrRebalanceFunc move,
+                   gpointer data);
 
 /* CPUs that each part will have within a moment: busy machines count where they are. */
-void kr_rebalance_count (const GPtrArray *supplies, guint parts, double *have);
+void kr_rebalance_count_cpus (const GPtrArray *supplies, guint shards, double *have);
--- a/src/settings.c
+++ b/src/settings.c
@@ -18,7 +18,7 @@
 {
   KrObjective *o = p;
   g_free (o->kind);
-  g_free (o->lane);
+  g_free (o->job_class);
   g_free (o);
 }
 
@@ -41,8 +41,8 @@
   g_free (settings->internal_addr);
   g_free (settings->cloud);
   g_free (settings->state);
-  g_clear_pointer (&settings->others, g_ptr_array_unref);
-  g_clear_pointer (&settings->names, g_ptr_array_unref);
+  g_clear_pointer (&settings->peers, g_ptr_array_unref);
+  g_clear_pointer (&settings->node_names, g_ptr_array_unref);
   g_clear_pointer (&settings->teams, g_ptr_array_unref);
   g_clear_pointer (&settings->objectives, g_ptr_array_unref);
   g_free (settings);
@@ -132,12 +132,12 @@
   json_array_foreach (others, i, t)
   {
     KrPeerSettings *peer = g_new0 (KrPeerSettings, 1);
-    g_ptr_array_add (settings->others, peer);
+    g_ptr_array_add (settings->peers, peer);
     peer->name = text (r, t, "node_name");
     peer->zone = text (r, t, "zone");
     peer->addr = address (r, t, "peer_addr");
     if (peer->name)
-      g_ptr_array_add (settings->names, peer->name);
+      g_ptr_array_add (settings->node_names, peer->name);
   }
   r->where = "";
 }
@@ -184,7 +184,7 @@
     KrObjective *objective = g_new0 (KrObjective, 1);
     g_ptr_array_add (settings->objectives, objective);
     objective->kind = text (r, t, "kind");
-    objective->lane = g_strdup (json_string_value (json_object_get (t, "class")));
+    objective->job_class = g_strdup (json_string_value (json_object_get (t, "class")));
     objective->share = number (r, t, "share", 0, 1, 0);
     objective->within_s = number (r, t, "within_s", 0, 1e9, 0);
   }
@@ -205,9 +205,9 @@
 read_limits (Reader *r, json_t *facts, KrSettings *settings)
 {
   json_t *t = facts_table (r, facts, "workers", "facts.workers");
-  settings->report_s = number (r, t, "report_s", 0.01, 3600, NAN);
-  settings->lease_s = number (r, t, "lease_s", 0.1, 86400, NAN);
-  settings->cancel_s = number (r, t, "cancel_s", 0.1, 86400, NAN);
+  settings->report_interval_s = number (r, t, "report_s", 0.01, 3600, NAN);
+  settings->worker_lease_s = number (r, t, "lease_s", 0.1, 86400, NAN);
+  settings->cancel_limit_s = number (r, t, "cancel_s", 0.1, 86400, NAN);
   t = facts_table (r, facts, "state", "facts.state");
   settings->state_rps = number (r, t, "rps", 0.1, 1e9, NAN);
   settings->state_write_rps = number (r, t, "write_rps", 0.1, 1e9, NAN);
@@ -227,7 +227,7 @@
 {
   json_t *facts = table (r, root, "facts");
   r->where = "facts";
-  settings->size = (guint) number (r, facts, "size", 1, 64, NAN);
+  settings->shard_count = (guint) number (r, facts, "size", 1, 64, NAN);
   settings->clock_error_s = number (r, facts, "clock_error_ms", 0, 1e6, 0) / 1000;
   read_teams (r, facts, settings);
   read_objectives (r, facts, settings);
@@ -238,16 +238,16 @@
 static gboolean
 sort_names (KrSettings *settings, GError **error)
 {
-  g_ptr_array_add (settings->names, settings->node_name);
-  g_ptr_array_sort (settings->names, by_name);
-  for (guint i = 0; i < settings->names->len; i++) {
-    if (i && g_strcmp0 (settings->names->pdata[i - 1], settings->names->pdata[i]) == 0) {
+  g_ptr_array_add (settings->node_names, settings->node_name);
+  g_ptr_array_sort (settings->node_names, by_name);
+  for (guint i = 0; i < settings->node_names->len; i++) {
+    if (i && g_strcmp0 (settings->node_names->pdata[i - 1], settings->node_names->pdata[i]) == 0) {
       g_set_error (error, KR_SETTINGS_ERROR, 0, "others.node_name: '%s' stands twice",
-                   (char *) settings->names->pdata[i]);
+                   (char *) settings->node_names->pdata[i]);
       return FALSE;
     }
-    if (settings->names->pdata[i] == settings->node_name)
-      settings->self = i;
+    if (settings->node_names->pdata[i] == settings->node_name)
+      settings->self_index = i;
   }
   return TRUE;
 }
@@ -258,8 +258,8 @@
   g_autoptr (KrSettings) settings = g_new0 (KrSettings, 1);
   Reader r = { "", NULL };
 
-  settings->others = g_ptr_array_new_with_free_func (peer_free);
-  settings->names = g_ptr_array_new ();
+  settings->peers = g_ptr_array_new_with_free_func (peer_free);
+  settings->node_names = g_ptr_array_new ();
   settings->teams = g_ptr_array_new_with_free_func (team_free);
   settings->objectives = g_ptr_array_new_with_free_func (objective_free);
   settings->node_name = text (&r, root, "node_name");
@@ -302,19 +302,19 @@
 }
 
 guint
-kr_settings_part_of_team (const KrSettings *settings, const char *name)
+kr_settings_shard_of_team (const KrSettings *settings, const char *name)
 {
   for (guint i = 0; i < settings->teams->len; i++)
     if (g_str_equal (((KrTeam *) settings->teams->pdata[i])->name, name))
-      return i % settings->size;
+      return i % settings->shard_count;
   return 0;
 }
 
 const KrPeerSettings *
 kr_settings_peer (const KrSettings *settings, const char *name)
 {
-  for (guint i = 0; i < settings->others->len; i++) {
-    const KrPeerSettings *peer = settings->others->pdata[i];
+  for (guint i = 0; i < settings->peers->len; i++) {
+    const KrPeerSettings *peer = settings->peers->pdata[i];
     if (g_str_equal (peer->name, name))
       return peer;
   }
@@ -322,24 +322,25 @@
 }
 
 static double
-objective (const KrSettings *settings, const char *kind, const char *lane, double fallback)
+objective (const KrSettings *settings, const char *kind, const char *job_class, double fallback)
 {
   for (guint i = 0; i < settings->objectives->len; i++) {
     const KrObjective *o = settings->objectives->pdata[i];
-    if (o->lane && o->within_s > 0 && g_str_equal (o->kind, kind) && g_str_equal (o->lane, lane))
+    if (o->job_class && o->within_s > 0 && g_str_equal (o->kind, kind) &&
+        g_str_equal (o->job_class, job_class))
       return o->within_s;
   }
   return fallback;
 }
 
 double
-kr_settings_goal (const KrSettings *settings, const char *lane)
+kr_settings_finish_goal_s (const KrSettings *settings, const char *job_class)
 {
-  return objective (settings, "finished", lane, KR_DEFAULT_GOAL_S);
+  return objective (settings, "finished", job_class, KR_DEFAULT_FINISH_GOAL_S);
 }
 
 double
-kr_settings_wait (const KrSettings *settings, const char *lane)
+kr_settings_start_goal_s (const KrSettings *settings, const char *job_class)
 {
-  return objective (settings, "wait", lane, KR_DEFAULT_WAIT_S);
+  return objective (settings, "wait", job_class, KR_DEFAULT_START_GOAL_S);
 }
--- a/src/settings.h
+++ b/src/settings.h
@@ -9,7 +9,7 @@
 } KrTeam;
 
 typedef struct {
-  char *kind, *lane;
+  char *kind, *job_class;
   double share, within_s;
 } KrObjective;
 
@@ -19,14 +19,14 @@
 
 typedef struct {
   char *node_name, *zone, *client_listen, *internal_addr, *cloud, *state;
-  GPtrArray *others; /* KrPeerSettings */
-  GPtrArray *names;  /* all node names, sorted: the index is a node's home part */
-  guint self;        /* our place in names */
-  guint size;
+  GPtrArray *peers;      /* KrPeerSettings */
+  GPtrArray *node_names; /* all node names, sorted: the index is a node's home part */
+  guint self_index;      /* our place in names */
+  guint shard_count;
   GPtrArray *teams;      /* KrTeam */
   GPtrArray *objectives; /* KrObjective */
   double clock_error_s;
-  double report_s, lease_s, cancel_s;
+  double report_interval_s, worker_lease_s, cancel_limit_s;
   double state_rps, state_write_rps, state_value_kb;
   guint state_txn_ops;
   double cloud_rps, cloud_list_lag_s;
@@ -48,12 +48,12 @@
 /* NULL if the team is unknown. */
 const KrTeam *kr_settings_team (const KrSettings *settings, const char *name);
 /* The part that a team belongs to: its place in the file, dealt round the parts. */
-guint kr_settings_part_of_team (const KrSettings *settings, const char *name);
+guint kr_settings_shard_of_team (const KrSettings *settings, const char *name);
 /* Seconds from submission within which a job of the class should finish; a stated default. */
-double kr_settings_goal (const KrSettings *settings, const char *lane);
+double kr_settings_finish_goal_s (const KrSettings *settings, const char *job_class);
 
 /* Seconds within which its tasks should start; a stated default. */
-double kr_settings_wait (const KrSettings *settings, const char *lane);
+double kr_settings_start_goal_s (const KrSettings *settings, const char *job_class);
 
 /* settings_toml.cpp: the file as a JSON tree, or NULL and a message to free with g_free. */
 json_t *kr_toml_load (const char *path, char **message);
--- a/src/part-private.h
+++ b/src/shard-private.h
@@ -1,31 +1,31 @@
-/* Shared among the files of one module: part.c (ownership, reports, deletion), part-takeover.c,
- * part-record.c, part-progress.c and part-dispatch.c. */
+/* Shared among the files of one module: shard.c (ownership, reports, deletion), shard-takeover.c,
+ * shard-record.c, shard-progress.c and shard-dispatch.c. */
 #pragma once
-#include "part.h"
-#include "place.h"
-#include "rank.h"
+#include "shard.h"
+#include "placement.h"
+#include "ranking.h"
 
 typedef enum { LOADING, FENCING, OPEN } Phase;
 
 /* A live job with what may be on machines of it, kept as that changes: a round of grants must not
  * cost a walk over all machines. */
 typedef struct {
-  KrPart *part;
+  KrShard *shard;
   KrJob *job;
   const KrTeam *team; /* NULL: unknown */
-  KrRoom *used;       /* the team's room in use, everything not surely gone */
-  GPtrArray *launches;
+  KrResources *used;  /* the team's room in use, everything not surely gone */
+  GPtrArray *attempts;
   /* as the paper's functions see it */
   GArray *elapsed;
   KrEstimateInput in;
-  KrRankKey key;
+  KrRankingKey key;
   double patience;  /* s from submission after which it stops whatever it may */
   gboolean stops;   /* it has waited long enough to stop others' tasks */
   gboolean starves; /* nothing of it has begun for long */
   gboolean skip;    /* out of this round */
-} KrLive;
+} KrLiveJob;
 
-struct KrPart {
+struct KrShard {
   grefcount refs;
   KrNode *node;
   guint index;
@@ -33,16 +33,16 @@
   Phase phase;
   gboolean gone, have_record, have_jobs;
   GCancellable *cancel;
-  GHashTable *jobs;     /* id -> KrLive */
-  GPtrArray *lives;     /* the same, to walk */
-  KrRoom *used;         /* a team each */
+  GHashTable *jobs;     /* id -> KrLiveJob */
+  GPtrArray *live_jobs; /* the same, to walk */
+  KrResources *used;    /* a team each */
   gint64 ranked_at;     /* monotonic us */
   GHashTable *machines; /* id -> KrMachine */
   GHashTable *ended;    /* id -> guint64: revision of the end that we wrote or found, kept until the
                            watch of the jobs is past it */
   GPtrArray *held;      /* KrMachine whose first report waits for its answer */
   GHashTable *leaving;  /* ids to be taken out of the record: deleted */
-  guint64 launches;     /* counter below the token */
+  guint64 attempts;     /* counter below the token */
   gint64 taken_at, last_beat;
   GPtrArray *former;  /* KrFormerOwner: who may have answered machines; NULL: not known */
   gboolean only_ours; /* none of them but earlier processes of this node */
@@ -61,28 +61,29 @@
   gint64 listed_at; /* monotonic us of the newest list */
 };
 
-KrPart *kr_part_ref (KrPart *part);
-void kr_part_unref (KrPart *part);
-KrJob *kr_part_job (KrPart *part, const char *id);
-KrMachine *kr_part_machine (KrPart *part, const char *id);
+KrShard *kr_shard_ref (KrShard *shard);
+void kr_shard_unref (KrShard *shard);
+KrJob *kr_shard_job (KrShard *shard, const char *id);
+KrMachine *kr_shard_machine (KrShard *shard, const char *id);
 /* g_hash_table_iter_next over the machines, counted. */
-gboolean kr_part_next (KrPart *part, GHashTableIter *it, gpointer *machine);
-/* KrSawFunc: what a machine's report means for its tasks' jobs. */
-void kr_part_saw (KrMachine *machine, KrLaunch *launch, KrSaw what, gpointer data);
-void kr_part_count_launch (KrPart *part, KrLaunch *launch);
-void kr_part_command_kills (KrPart *part, KrMachine *machine);
+gboolean kr_shard_next_machine (KrShard *shard, GHashTableIter *it, gpointer *machine);
+/* KrAttemptEventFunc: what a machine's report means for its tasks' jobs. */
+void kr_shard_on_attempt_event (KrMachine *machine, KrAttempt *attempt, KrAttemptEvent what,
+                                gpointer data);
+void kr_shard_add_attempt (KrShard *shard, KrAttempt *attempt);
+void kr_shard_command_kills (KrShard *shard, KrMachine *machine);
 /* Before a machine is taken out of `machines`; `gone`: what became of its launches. */
-void kr_part_forget (KrPart *part, KrMachine *machine, KrGone gone);
+void kr_shard_remove_machine (KrShard *shard, KrMachine *machine, KrGoneReason gone);
 #define KR_LEFT_RECORD "it left the record with tasks" /* why a machine is deleted */
 /* Has the cloud delete it: what runs there is gone once it says so. Repeated by those who ask until
  * then, with a pause after each refusal. FALSE: such a pause is on. */
-gboolean kr_part_delete_machine (KrPart *part, KrMachine *machine, const char *why);
+gboolean kr_shard_delete_machine (KrShard *shard, KrMachine *machine, const char *why);
 /* Answers first reports that need not wait any more. */
-void kr_part_answer_held (KrPart *part);
+void kr_shard_answer_held_reports (KrShard *shard);
 /* Takes in what a machine says in answer to /show or /commands. */
-void kr_part_take_report (KrPart *part, KrMachine *machine, const KrReport *report);
+void kr_shard_apply_direct_report (KrShard *shard, KrMachine *machine, const KrReport *report);
 
-/* part-takeover.c */
+/* shard-takeover.c */
 /* A node that may have answered machines of the part since all of them were last fenced. */
 typedef struct {
   char *node;
@@ -91,38 +92,38 @@
   gint64 next_ask; /* monotonic us: not asked before */
 } KrFormerOwner;
 /* The part is ours now; its record and jobs are yet to be read. */
-void kr_takeover_begin (KrPart *part);
+void kr_takeover_begin (KrShard *shard);
 /* Opens the part once no used machine may obey an earlier owner any more. */
-void kr_part_check_open (KrPart *part);
-gboolean kr_part_needs_fence (const KrMachine *machine);
+void kr_shard_try_open (KrShard *shard);
+gboolean kr_shard_needs_fence (const KrMachine *machine);
 
-/* part-record.c */
+/* shard-record.c */
 /* A transaction that fails once the owner key is no longer ours. */
-KrTxn *kr_part_owner_txn (KrPart *part);
+KrTxn *kr_shard_owner_txn (KrShard *shard);
 /* Writes the part's claim, if nobody else has. */
-KrTxn *kr_part_claim_txn (KrPart *part, json_t *value);
-void kr_part_write_record (KrPart *part);
+KrTxn *kr_shard_owner_history_txn (KrShard *shard, json_t *value);
+void kr_shard_write_record (KrShard *shard);
 /* Takes out of the part's record machines that belong to another part. */
-void kr_part_remove_strays (KrPart *part);
+void kr_shard_remove_duplicate_records (KrShard *shard);
 /* Tells the leader through the state service what is needed, where it does not reach us. */
-void kr_part_tell_needs (KrPart *part);
+void kr_shard_store_summary (KrShard *shard);
 
-/* part-progress.c */
-void kr_part_flush (KrPart *part);
+/* shard-progress.c */
+void kr_shard_flush_progress (KrShard *shard);
 /* Whether the job has ended, as far as that is not yet past in the watch of the jobs. */
-gboolean kr_part_has_ended (KrPart *part, const char *job);
+gboolean kr_shard_has_ended (KrShard *shard, const char *job);
 /* Forgets ends that the watch of the jobs is past. */
-void kr_part_prune_ended (KrPart *part);
+void kr_shard_prune_ended (KrShard *shard);
 
-/* part-dispatch.c */
-KrLive *kr_live_new (KrPart *part, KrJob *job); /* takes `job` */
-void kr_live_free (gpointer live);
-void kr_live_add (KrLive *live, KrLaunch *launch);
-void kr_live_drop (KrLaunch *launch);
+/* shard-dispatch.c */
+KrLiveJob *kr_live_job_new (KrShard *shard, KrJob *job); /* takes `job` */
+void kr_live_job_free (gpointer live_job);
+void kr_live_job_add_attempt (KrLiveJob *live_job, KrAttempt *attempt);
+void kr_live_job_remove_attempt (KrAttempt *attempt);
 /* All its tasks shall go. */
-void kr_live_stop (KrLive *live);
+void kr_live_job_kill_all (KrLiveJob *live_job);
 /* The live job as whose task a launch counts, or NULL. */
-KrJob *kr_live_job (const KrLaunch *launch);
+KrJob *kr_attempt_job (const KrAttempt *attempt);
 /* Whether a task may be started on a machine now; if not, the first reason against it. */
 typedef enum {
   KR_READY,
@@ -135,10 +136,10 @@
   KR_NOTICED,      /* the cloud takes it soon */
   KR_PAUSED        /* launches do not reach it, or fail there */
 } KrReadiness;
-KrReadiness kr_part_readiness (KrPart *part, const KrMachine *machine, gint64 now);
-gboolean kr_part_usable (KrPart *part, const KrMachine *machine, gint64 now);
+KrReadiness kr_shard_readiness (KrShard *shard, const KrMachine *machine, gint64 now);
+gboolean kr_shard_usable (KrShard *shard, const KrMachine *machine, gint64 now);
 /* Adds `run` orders for the machine's free room. */
-void kr_part_grant (KrPart *part, KrMachine *machine, json_t *orders, gint64 now);
-void kr_part_run_planned (KrMachine *machine, json_t *orders);
-void kr_part_drop_planned (KrPart *part, KrMachine *machine);
-void kr_part_preempt (KrPart *part, gint64 now);
+void kr_shard_assign_tasks (KrShard *shard, KrMachine *machine, json_t *orders, gint64 now);
+void kr_shard_send_planned (KrMachine *machine, json_t *orders);
+void kr_shard_drop_planned (KrShard *shard, KrMachine *machine);
+void kr_shard_preempt (KrShard *shard, gint64 now);
--- /dev/null
+++ b/src/shard.c
@@ -0,0 +1,833 @@
+#include "shard-private.h"
+#include "clock.h"
+#include "constants.h"
+#include "invariant.h"
+#include "log.h"
+#include "provisioner.h"
+#include "worker-client.h"
+#include <string.h>
+
+KrShard *
+kr_shard_ref (KrShard *shard)
+{
+  g_ref_count_inc (&shard->refs);
+  return shard;
+}
+
+void
+kr_shard_unref (KrShard *shard)
+{
+  if (!g_ref_count_dec (&shard->refs))
+    return;
+  g_hash_table_unref (shard->jobs); /* before the machines: it lets go of their launches */
+  g_hash_table_unref (shard->machines);
+  g_hash_table_unref (shard->ended);
+  g_ptr_array_unref (shard->live_jobs);
+  g_ptr_array_unref (shard->held);
+  g_free (shard->used);
+  g_hash_table_unref (shard->leaving);
+  g_clear_pointer (&shard->former, g_ptr_array_unref);
+  g_object_unref (shard->cancel);
+  g_free (shard);
+}
+
+guint64
+kr_shard_token (KrShard *shard)
+{
+  return shard->token;
+}
+
+KrMachine *
+kr_shard_machine (KrShard *shard, const char *id)
+{
+  return g_hash_table_lookup (shard->machines, id);
+}
+
+gboolean
+kr_shard_next_machine (KrShard *shard, GHashTableIter *it, gpointer *machine)
+{
+  shard->walked++;
+  return g_hash_table_iter_next (it, NULL, machine);
+}
+
+guint64
+kr_shard_machine_visits (KrShard *shard)
+{
+  return shard->walked;
+}
+
+KrJob *
+kr_shard_job (KrShard *shard, const char *id)
+{
+  KrLiveJob *live_job = g_hash_table_lookup (shard->jobs, id);
+  return live_job ? live_job->job : NULL;
+}
+
+static double
+seconds_since (gint64 then, gint64 now)
+{
+  return (double) (now - then) / G_USEC_PER_SEC;
+}
+
+/* --- what reports show --------------------------------------------------------------- */
+void
+kr_shard_add_attempt (KrShard *shard, KrAttempt *attempt)
+{
+  KrLiveJob *live_job = g_hash_table_lookup (shard->jobs, attempt->job);
+  if (!live_job || attempt->live_job || attempt->state == KR_TASK_EXITED)
+    return;
+  const KrJob *job = live_job->job;
+  /* Guards against a second copy: a completed, cancelled or elsewhere active task must not run. */
+  if (job->cancelled || kr_job_is_done (job, attempt->index) ||
+      (attempt->index < job->spec->tasks && job->active[attempt->index]))
+    attempt->kill = KR_KILL_NOW;
+  kr_live_job_add_attempt (live_job, attempt);
+}
+
+static void
+task_failed (KrShard *shard, KrMachine *machine, KrJob *job, double ran_s, gint64 now)
+{
+  guint only_here = 0;
+  GHashTableIter it;
+  gpointer id;
+
+  machine->pause_until = now + kr_seconds_to_us (KR_JOB_BACKOFF_S / 2);
+  g_hash_table_add (job->failed_on, g_strdup (machine->id));
+  job->failed_at = now;
+  job->longest_failed_run_s = MAX (job->longest_failed_run_s, ran_s);
+  g_hash_table_add (machine->failed_jobs, g_strdup (job->spec->id));
+  /* A job that fails on several machines is at fault itself: growing pauses keep it from taking
+   * every free slot for ever once it is past its goal. */
+  if (kr_job_is_suspect (job)) {
+    /* What fails within a pause was started before it: the pause grows once a try. */
+    if (job->probing || now >= job->backoff_until) {
+      job->backoff_until = now + kr_seconds_to_us (job->backoff_s);
+      kr_info ("job %s: fails on %u machines, held for %.0f s", job->spec->id,
+               g_hash_table_size (job->failed_on), job->backoff_s);
+      job->backoff_s = MIN (job->backoff_s * 2, KR_JOB_BACKOFF_MAX_S);
+    }
+    job->probing = FALSE;
+  } else
+    job->backoff_until = 0;
+  g_hash_table_iter_init (&it, machine->failed_jobs);
+  while (g_hash_table_iter_next (&it, &id, NULL)) {
+    KrJob *this_job = kr_shard_job (shard, id);
+    if (this_job && g_hash_table_size (this_job->failed_on) == 1)
+      only_here += 1 + (this_job->timed_count > 0);
+  }
+  if (only_here >= KR_FAULTY_MACHINE_JOBS && !machine->drain) {
+    kr_info ("machine %s: tasks fail only here, draining it", machine->id);
+    machine->drain = TRUE;
+  }
+}
+
+/* A machine much slower than its peers holds up whatever it gets: it is drained and returned. */
+static void
+judge_pace (KrMachine *machine, const KrJob *job, double ran_s)
+{
+  if (job->timed_count < KR_SLOWDOWN_MIN_TASKS)
+    return; /* nothing to compare with yet */
+  double ratio = ran_s / MAX (job->timed_sum_s / job->timed_count, 1e-3);
+  machine->slowdown = machine->slowdown_samples++
+                          ? machine->slowdown + KR_SLOWDOWN_WEIGHT * (ratio - machine->slowdown)
+                          : ratio;
+  if (machine->slowdown_samples >= KR_SLOWDOWN_MIN_TASKS && machine->slowdown > KR_SLOWDOWN_LIMIT &&
+      !machine->drain) {
+    kr_info ("machine %s: tasks take %.1f times as long as elsewhere, draining it", machine->id,
+             machine->slowdown);
+    machine->drain = TRUE;
+  }
+}
+
+static void
+task_done (KrShard *shard, KrMachine *machine, KrJob *job, KrAttempt *attempt, gint64 now)
+{
+  if (!kr_job_is_done (job, attempt->index)) {
+    if (job->spec->kind != KR_JOB_KIND_SERVICE) /* a service's task starts again */
+      kr_job_set_done (job, attempt->index);
+    job->progress_dirty = TRUE;
+    if (attempt->running_since && !attempt->adopted) {
+      judge_pace (machine, job, kr_attempt_run_time_s (attempt, now));
+      job->timed_sum_s += kr_attempt_run_time_s (attempt, now);
+      job->timed_count++;
+    }
+  }
+  kr_job_clear_failures (job);
+  g_hash_table_remove (machine->failed_jobs, job->spec->id);
+  if (kr_job_is_complete (job))
+    kr_shard_flush_progress (shard);
+}
+
+static void
+task_exited (KrShard *shard, KrMachine *machine, KrJob *job, KrAttempt *attempt)
+{
+  gint64 now = kr_now ();
+  if (attempt->why == KR_EXIT_DONE)
+    task_done (shard, machine, job, attempt, now);
+  else if (attempt->why == KR_EXIT_ERROR) {
+    kr_info ("task %s/%u: error on %s", attempt->job, attempt->index, machine->id);
+    task_failed (shard, machine, job, kr_attempt_run_time_s (attempt, now), now);
+  } else if (attempt->why == KR_EXIT_REFUSED || attempt->why == KR_EXIT_UNKNOWN)
+    kr_info ("task %s/%u: start refused by %s", attempt->job, attempt->index, machine->id);
+  if (job->cancelled)
+    kr_shard_flush_progress (shard);
+}
+
+/* Reports arrive, our answers do not: it looks idle and would be given work for ever. */
+static void
+pause_unheard (KrMachine *machine)
+{
+  guint shift =
+      KR_UNDELIVERED_BACKOFF_SHIFT * MIN (machine->undelivered, KR_UNDELIVERED_BACKOFF_STEPS);
+  double pause_s = MIN (KR_UNDELIVERED_BACKOFF_MAX_S, KR_UNDELIVERED_BACKOFF_S * (1u << shift));
+  machine->pause_until = kr_now () + kr_seconds_to_us (pause_s);
+  machine->undelivered++;
+  kr_info ("machine %s: a launch did not reach it, no further ones for a while", machine->id);
+}
+
+void
+kr_shard_on_attempt_event (KrMachine *machine, KrAttempt *attempt, KrAttemptEvent what,
+                           gpointer data)
+{
+  KrShard *shard = data;
+  KrJob *job = kr_shard_job (shard, attempt->job);
+
+  switch (what) {
+  case KR_ATTEMPT_DISCOVERED:
+    if (shard->have_jobs)
+      kr_shard_add_attempt (shard, attempt);
+    break;
+  case KR_ATTEMPT_CONFIRMED:
+    machine->undelivered = 0;
+    break;
+  case KR_ATTEMPT_UNDELIVERED:
+    pause_unheard (machine);
+    break;
+  case KR_ATTEMPT_STARTED:
+    kr_debug ("task %s/%u: runs on %s", attempt->job, attempt->index, machine->id);
+    if (job) {
+      g_hash_table_add (machine->images, g_strdup (job->spec->image));
+      job->progress_dirty = TRUE;
+    }
+    break;
+  case KR_ATTEMPT_EXITED:
+    kr_debug ("task %s/%u: exited on %s (%d)", attempt->job, attempt->index, machine->id,
+              attempt->why);
+    kr_live_job_remove_attempt (attempt);
+    if (job)
+      task_exited (shard, machine, job, attempt);
+    break;
+  case KR_ATTEMPT_GONE:
+    if (attempt->state != KR_TASK_EXITED)
+      kr_debug ("task %s/%u: gone from %s (%s)", attempt->job, attempt->index, machine->id,
+                kr_gone_reason_name (attempt->gone_reason));
+    kr_live_job_remove_attempt (attempt);
+    if (job && job->cancelled)
+      kr_shard_flush_progress (shard);
+    break;
+  }
+}
+
+/* --- orders -------------------------------------------------------------------------- */
+static double
+slack (KrShard *shard, const KrAttempt *attempt)
+{
+  const KrJob *job = kr_attempt_job (attempt);
+  return attempt->kill == KR_KILL_GRACEFUL && job && job->spec->checkpoint_interval_s > 0
+             ? job->spec->checkpoint_save_s + KR_SAVE_GRACE_S
+             : 0;
+}
+
+/* Its kill is wanted and not already at work: a task that saves is left to it. */
+static gboolean
+to_kill (const KrAttempt *attempt)
+{
+  return attempt->kill && attempt->state != KR_TASK_EXITED &&
+         !(attempt->kill == KR_KILL_GRACEFUL && attempt->state == KR_TASK_SAVING);
+}
+
+static void
+add_kills_and_clears (KrShard *shard, KrMachine *machine, json_t *orders)
+{
+  for (guint i = 0; i < machine->attempts->len; i++) {
+    KrAttempt *attempt = machine->attempts->pdata[i];
+    KrJob *job = attempt->live_job ? kr_attempt_job (attempt) : kr_shard_job (shard, attempt->job);
+    if (attempt->state == KR_TASK_EXITED) {
+      /* Cleared only once the outcome is durable: until then the worker is the only witness. */
+      if (attempt->why != KR_EXIT_DONE || (job && job->spec->kind == KR_JOB_KIND_SERVICE) ||
+          (shard->have_jobs && !job) || (job && kr_job_is_persisted (job, attempt->index)) ||
+          (job && job->cancelled))
+        kr_wire_order_clear (orders, attempt->job, attempt->index, attempt->attempt_id);
+    } else {
+      if (shard->have_jobs && !job)
+        attempt->kill = KR_KILL_NOW; /* its job is over */
+      if (to_kill (attempt))
+        kr_wire_order_kill (orders, attempt->job, attempt->index, attempt->attempt_id,
+                            slack (shard, attempt));
+    }
+  }
+}
+
+/* A direct command or a deletion under way. */
+typedef struct {
+  KrShard *shard;
+  char *id;
+} Contact;
+
+static Contact *
+contact_new (KrShard *shard, KrMachine *machine)
+{
+  Contact *contact = g_new (Contact, 1);
+  *contact = (Contact){ kr_shard_ref (shard), g_strdup (machine->id) };
+  return contact;
+}
+
+static void
+contact_free (Contact *contact)
+{
+  kr_shard_unref (contact->shard);
+  g_free (contact->id);
+  g_free (contact);
+}
+
+void
+kr_shard_apply_direct_report (KrShard *shard, KrMachine *machine, const KrReport *report)
+{
+  kr_machine_apply_report (machine, report, FALSE, shard->token, kr_now (),
+                           kr_shard_on_attempt_event, shard);
+  if (report->token > shard->token)
+    kr_membership_renew_token (shard->node->membership, shard->index);
+}
+
+static void
+commanded (guint status, KrReport *report, gpointer data)
+{
+  Contact *contact = data;
+  KrShard *shard = contact->shard;
+  KrMachine *machine = shard->gone ? NULL : kr_shard_machine (shard, contact->id);
+
+  if (machine) {
+    machine->command_in_flight = FALSE;
+    kr_machine_note_call (machine, report != NULL, kr_now ());
+    if (report && (status == 200 || status == 409))
+      kr_shard_apply_direct_report (shard, machine, report);
+    if (machine->command_again && report)
+      kr_shard_command_kills (shard, machine);
+    machine->command_again = FALSE;
+  }
+  contact_free (contact);
+}
+
+void
+kr_shard_command_kills (KrShard *shard, KrMachine *machine)
+{
+  if (!machine->endpoint || !machine->session || kr_now () < machine->next_call)
+    return;
+  /* One at a time: it carries all kills, and what piles up costs the whole loop its turns. */
+  if (machine->command_in_flight) {
+    machine->command_again = TRUE;
+    return;
+  }
+  json_t *orders = kr_wire_commands_new (shard->token, machine->session);
+  for (guint i = 0; i < machine->attempts->len; i++) {
+    KrAttempt *attempt = machine->attempts->pdata[i];
+    /* In doubt: a direct kill may overtake the run; it is repeated in the responses. */
+    if (to_kill (attempt))
+      kr_wire_order_kill (orders, attempt->job, attempt->index, attempt->attempt_id,
+                          slack (shard, attempt));
+  }
+  if (kr_wire_orders_count (orders) == 0) {
+    json_decref (orders);
+    return;
+  }
+  machine->command_in_flight = TRUE;
+  kr_worker_send_commands (shard->node->worker_client, machine->endpoint, orders, shard->cancel,
+                           commanded, contact_new (shard, machine));
+}
+
+/* --- deletion ------------------------------------------------------------------------ */
+/* One line when the cloud begins to refuse deletions, and one when it takes them again. */
+static void
+note_deletion (KrShard *shard, guint status)
+{
+  gboolean refused = status != 200;
+  if (shard->gone || refused == shard->deletions_refused)
+    return;
+  shard->deletions_refused = refused;
+  if (refused)
+    kr_info ("part %u: the cloud does not delete machines (%u), asked again until it does",
+             shard->index, status);
+  else
+    kr_info ("part %u: the cloud deletes machines again", shard->index);
+}
+
+static void
+deleted (guint status, json_t *body, gpointer data)
+{
+  Contact *contact = data;
+  KrShard *shard = contact->shard;
+  KrMachine *machine = shard->gone ? NULL : kr_shard_machine (shard, contact->id);
+
+  if (machine && status == 200) {
+    kr_shard_remove_machine (shard, machine, KR_GONE_DELETED);
+    g_hash_table_add (shard->leaving, g_strdup (machine->id));
+    g_hash_table_remove (shard->machines, machine->id);
+    kr_shard_write_record (shard);
+  } else if (machine) {
+    machine->deleting = FALSE; /* a tick asks again */
+    machine->delete_after = kr_now () + kr_seconds_to_us (KR_DELETE_RETRY_S);
+  }
+  note_deletion (shard, status);
+  contact_free (contact);
+}
+
+gboolean
+kr_shard_delete_machine (KrShard *shard, KrMachine *machine, const char *why)
+{
+  if (machine->deleting)
+    return TRUE;
+  machine->drain = TRUE;
+  if (kr_now () < machine->delete_after)
+    return FALSE;
+  machine->deleting = TRUE;
+  if (machine->delete_after)
+    kr_debug ("machine %s: deleting it again, %s", machine->id, why);
+  else
+    kr_info ("machine %s: deleting it, %s", machine->id, why);
+  kr_cloud_delete (shard->node->cloud_client, machine->id, shard->cancel, deleted,
+                   contact_new (shard, machine));
+  return TRUE;
+}
+
+void
+kr_shard_return_machine (KrShard *shard, const char *id)
+{
+  KrMachine *machine = kr_shard_machine (shard, id);
+  if (machine && shard->phase == OPEN && machine->attempts->len == 0 && machine->move_to < 0)
+    kr_shard_delete_machine (shard, machine, "no longer needed");
+}
+
+void
+kr_shard_mark_for_move (KrShard *shard, const char *id, guint to)
+{
+  KrMachine *machine = kr_shard_machine (shard, id);
+  if (machine && shard->phase == OPEN && !machine->drain && !machine->moving &&
+      to < shard->node->settings->shard_count)
+    machine->move_to = to == shard->index ? -1 : (gint) to;
+}
+
+/* Guards against a late copy of a report of a machine that is gone: with no other machine
+ * reporting, its silence alone proves nothing, and it would stay in the record for ever. */
+static gboolean
+unlisted_and_silent (const KrMachine *machine, gint64 now, double lag)
+{
+  return machine->last_report_at &&
+         now - machine->last_report_at > kr_seconds_to_us (2 * lag + KR_MISSING_MARGIN_S);
+}
+
+void
+kr_shard_machines_listed (KrShard *shard, GHashTable *by_id)
+{
+  GHashTableIter it;
+  gpointer value;
+  gint64 now = kr_now ();
+  double lag = shard->node->settings->cloud_list_lag_s;
+
+  shard->listed_at = now;
+  g_hash_table_iter_init (&it, shard->machines);
+  while (kr_shard_next_machine (shard, &it, &value)) {
+    KrMachine *machine = value;
+    const KrListedMachine *listed = g_hash_table_lookup (by_id, machine->id);
+    if (listed) {
+      machine->listed = TRUE;
+      machine->missing_since = 0;
+      if (!machine->known && !machine->type) {
+        machine->type = g_strdup (listed->type);
+        machine->zone = g_strdup (listed->zone);
+        machine->spot = listed->spot;
+      }
+      if (!machine->endpoint && listed->endpoint && *listed->endpoint)
+        machine->endpoint = g_strdup (listed->endpoint);
+      const KrMachineType *type = kr_node_machine_type (shard->node, listed->type);
+      double boot =
+          MAX (KR_BOOT_MIN_S, type ? type->boot_s * KR_BOOT_GIVE_UP_FACTOR : KR_BOOT_MIN_S);
+      if (listed->state == KR_MACHINE_FAILED)
+        kr_shard_delete_machine (shard, machine, "it has failed");
+      else if (listed->state == KR_MACHINE_STARTING && !machine->last_report_at &&
+               listed->age_s > boot)
+        kr_shard_delete_machine (shard, machine, "it never came up");
+    } else if ((machine->listed || (machine->used && !machine->last_report_at) ||
+                unlisted_and_silent (machine, now, lag)) &&
+               !machine->missing_since)
+      machine->missing_since = now; /* what is used was up once, and so listed */
+    else if (!machine->listed && !machine->last_report_at &&
+             now - machine->joined > kr_seconds_to_us (KR_UNLISTED_MACHINE_S + 4 * lag))
+      kr_shard_delete_machine (shard, machine, "never listed"); /* adopted from a stale list */
+    /* A list may be older than the one before: wait for the worst lag, then have the cloud say so
+     * (200 to a deletion is proof; missing from a list is not). */
+    if (machine->missing_since &&
+        now - machine->missing_since > kr_seconds_to_us (2 * lag + KR_MISSING_MARGIN_S))
+      kr_shard_delete_machine (shard, machine, "no longer listed");
+  }
+}
+
+/* --- reports ------------------------------------------------------------------------- */
+/* The one place from which a report is answered with 200. Whatever the report told, its worker may
+ * count its lease from it, so no lease that we judge may begin before. */
+static void
+renew_lease (KrMachine *machine, KrRequest *request, json_t *orders, gint64 now)
+{
+  machine->lease_renewed_at = now;
+  kr_request_reply (request, 200, orders, 0);
+}
+
+static void
+answer (KrShard *shard, KrMachine *machine, KrRequest *request, gint64 now)
+{
+  json_t *orders = kr_wire_orders_new (shard->token);
+  kr_shard_drop_planned (shard, machine);
+  add_kills_and_clears (shard, machine, orders);
+  kr_shard_assign_tasks (shard, machine, orders, now);
+  if (kr_shard_usable (shard, machine, now))
+    kr_shard_send_planned (machine, orders);
+  renew_lease (machine, request, orders, now);
+}
+
+/* Not ours to answer any more, or asked anew. */
+static void
+let_go (KrShard *shard, KrMachine *machine)
+{
+  if (!machine->pending_request)
+    return;
+  kr_request_reply (g_steal_pointer (&machine->pending_request), 503, NULL, 0);
+  g_ptr_array_remove_fast (shard->held, machine);
+}
+
+void
+kr_shard_answer_held_reports (KrShard *shard)
+{
+  gint64 now = kr_now ();
+  for (guint i = shard->held->len; i-- > 0;) {
+    KrMachine *machine = shard->held->pdata[i];
+    gboolean late =
+        now - machine->pending_since >= KR_FIRST_REPORT_HOLD_MS * G_GINT64_CONSTANT (1000);
+    /* Guards against a lease renewed by an owner that has not read which jobs are cancelled: with
+     * the state service out for long, their tasks would run on, and nobody would know. */
+    if (!shard->have_jobs) {
+      if (late)
+        let_go (shard, machine);
+      continue;
+    }
+    if (!machine->used && !late)
+      continue;
+    /* Guards against a machine that stays idle with a former owner, which the state service does
+     * not reach: its successor, which does not know that the machine is up, has work for it. */
+    if (!machine->used &&
+        kr_state_seconds_since_answer (shard->node->state_client) > KR_STATE_UNREACHABLE_S) {
+      let_go (shard, machine);
+      continue;
+    }
+    g_ptr_array_remove_index_fast (shard->held, i);
+    answer (shard, machine, g_steal_pointer (&machine->pending_request), now);
+  }
+}
+
+void
+kr_shard_remove_machine (KrShard *shard, KrMachine *machine, KrGoneReason gone)
+{
+  let_go (shard, machine);
+  kr_machine_remove_attempts (machine, gone, kr_shard_on_attempt_event, shard);
+}
+
+void
+kr_shard_handle_report (KrShard *shard, KrRequest *request, const KrReport *report)
+{
+  KrMachine *machine = kr_shard_machine (shard, report->machine);
+  gint64 now = kr_now ();
+
+  /* One that was given up, since it hears nothing: it must not count as answered for ever. */
+  gboolean given_up =
+      machine && machine->drain && kr_shard_needs_fence (machine) && report->token < shard->token;
+  if (!machine || machine->deleting || given_up) {
+    kr_request_reply (request, machine || !shard->have_record ? 503 : 421, kr_wire_redirect (NULL),
+                      0);
+    return;
+  }
+  if (report->token > shard->token) {
+    /* Somebody with a newer token commanded it. If the key is still ours, that one is gone or the
+     * machine came from another part: we need a newer token, and must not order anything now. */
+    kr_membership_renew_token (shard->node->membership, shard->index);
+    const KrHolder *holder = kr_membership_holder (shard->node->membership, shard->index);
+    gboolean other = holder->node && !kr_membership_owns (shard->node->membership, shard->index);
+    kr_request_reply (request, 421, kr_wire_redirect (other ? holder->node : NULL), 0);
+    return;
+  }
+  shard->last_beat = now;
+  KrReportFreshness news = kr_machine_apply_report (machine, report, TRUE, shard->token, now,
+                                                    kr_shard_on_attempt_event, shard);
+  shard->overtaken += news == KR_REPORT_OVERTAKEN;
+  if (news == KR_REPORT_OVERTAKEN && shard->have_jobs) {
+    renew_lease (machine, request, kr_wire_orders_new (shard->token), now);
+    return;
+  }
+  if (news != KR_REPORT_FRESH) {
+    kr_request_reply (request, 503, NULL, 0);
+    return;
+  }
+  let_go (shard, machine); /* a newer report: the worker has given the one before up */
+  machine->lease_renewed_at = now;
+  if (kr_machine_count_unfinished (machine))
+    machine->idle_since = now;
+  if (machine->used && shard->have_jobs) {
+    answer (shard, machine, request, now);
+    return;
+  }
+  /* That it is used must be durable before its first run. The answer waits for that: the next
+   * report, with which it could start otherwise, may be a whole period away. It waits for the jobs
+   * too: see kr_shard_answer_held_reports. */
+  machine->use_pending = !machine->used;
+  machine->pending_request = request;
+  machine->pending_since = now;
+  g_ptr_array_add (shard->held, machine);
+  kr_shard_write_record (shard);
+}
+
+/* --- periodic duties ----------------------------------------------------------------- */
+/* Where the CPUs are that are paid for. */
+typedef struct {
+  guint up, starting;
+  double running, fetching, doubt;      /* in use */
+  double held, leaving, unusable, open; /* free */
+} Status;
+
+static double *
+status_in_use (Status *status, const KrAttempt *attempt)
+{
+  if (attempt->state == KR_TASK_UNCONFIRMED)
+    return &status->doubt;
+  return attempt->state == KR_TASK_PULLING ? &status->fetching : &status->running;
+}
+
+static double *
+status_free (Status *status, KrShard *shard, const KrMachine *machine, gint64 now)
+{
+  if (!kr_shard_usable (shard, machine, now))
+    return &status->unusable;
+  if (machine->move_to >= 0)
+    return &status->leaving;
+  return machine->reserved_for ? &status->held : &status->open;
+}
+
+static void
+status_add (Status *status, KrShard *shard, const KrMachine *machine, gint64 now)
+{
+  const KrMachineType *type =
+      machine->type ? kr_node_machine_type (shard->node, machine->type) : NULL;
+  double left = type ? type->cpus : 0;
+  if (!machine->known) {
+    status->starting++;
+    return;
+  }
+  status->up++;
+  for (guint i = 0; i < machine->attempts->len; i++) {
+    const KrAttempt *attempt = machine->attempts->pdata[i];
+    const KrJob *job = kr_attempt_job (attempt);
+    if (!job || attempt->state == KR_TASK_EXITED)
+      continue;
+    left -= job->spec->cpus;
+    *status_in_use (status, attempt) += job->spec->cpus;
+  }
+  *status_free (status, shard, machine, now) += left;
+}
+
+static void
+log_status (KrShard *shard, gint64 now)
+{
+  Status status = { 0 };
+  GHashTableIter it;
+  gpointer machine;
+  guint waiting = 0;
+
+  g_hash_table_iter_init (&it, shard->machines);
+  while (kr_shard_next_machine (shard, &it, &machine))
+    status_add (&status, shard, machine, now);
+  for (guint i = 0; i < shard->live_jobs->len; i++)
+    waiting += kr_job_unstarted (((KrLiveJob *) shard->live_jobs->pdata[i])->job);
+  kr_debug (
+      "part %u: %u jobs, %u tasks wait; %u machines up, %u starting; CPUs: %.0f running, %.0f "
+      "fetching, %.0f in doubt; free: %.0f held, %.0f leaving, %.0f not usable, %.0f open; "
+      "%u overtaken reports, %u invariants broken",
+      shard->index, shard->live_jobs->len, waiting, status.up, status.starting, status.running,
+      status.fetching, status.doubt, status.held, status.leaving, status.unusable, status.open,
+      shard->overtaken, kr_invariant_violations ());
+}
+
+/* What is on a machine whose lease is over is gone; one that stays silent goes as well. */
+static void
+judge_lease (KrShard *shard, KrMachine *machine, gint64 now)
+{
+  const KrSettings *settings = shard->node->settings;
+  /* Judged at the last moment at which the part was surely ours: a node cut off from the state
+   * service must not take a machine that its successor has fenced, and now answers, for silent. */
+  gint64 proven = kr_membership_lease_confirmed_at (shard->node->membership);
+
+  if (!machine->lease_renewed_at ||
+      !kr_machine_lease_expired (machine, proven, settings->worker_lease_s))
+    return;
+  if (kr_machine_count_unfinished (machine))
+    kr_info ("machine %s: silent, its lease is over, %u tasks gone (token %" G_GUINT64_FORMAT
+             ", session %" G_GUINT64_FORMAT ", answered %.3f s ago, ours proven %.3f s ago)",
+             machine->id, kr_machine_count_unfinished (machine), shard->token, machine->session,
+             seconds_since (machine->lease_renewed_at, now), seconds_since (proven, now));
+  kr_machine_remove_attempts (machine, KR_GONE_LEASE_EXPIRED, kr_shard_on_attempt_event, shard);
+  machine->idle_since = now;
+  if (now - machine->last_report_at >
+          kr_seconds_to_us (settings->worker_lease_s + KR_SILENT_MACHINE_DELETE_S) &&
+      (now - shard->last_beat < kr_seconds_to_us (2 * settings->report_interval_s) ||
+       g_hash_table_size (shard->machines) == 1))
+    kr_shard_delete_machine (shard, machine, "silent for long");
+}
+
+static void
+watch_machine (KrShard *shard, KrMachine *machine, gint64 now)
+{
+  const KrSettings *settings = shard->node->settings;
+
+  if (machine->deleting)
+    return;
+  if (!kr_shard_needs_fence (machine))
+    judge_lease (shard, machine, now);
+  else if (shard->phase == OPEN) /* the cloud has refused */
+    kr_shard_delete_machine (shard, machine, KR_LEFT_RECORD);
+  if (machine->deleting)
+    return;
+  gboolean cancelled = FALSE, kills = FALSE;
+  for (guint i = 0; i < machine->attempts->len; i++) {
+    KrAttempt *attempt = machine->attempts->pdata[i];
+    const KrJob *job = kr_attempt_job (attempt);
+    if (attempt->state == KR_TASK_EXITED)
+      continue;
+    kills |= attempt->kill != KR_KILL_NONE;
+    cancelled |= job && job->cancelled;
+    if (machine->reclaim_at && job && job->spec->checkpoint_interval_s > 0 && !attempt->kill &&
+        machine->reclaim_at - now <
+            kr_seconds_to_us (job->spec->checkpoint_save_s + 2 * settings->report_interval_s)) {
+      attempt->kill = KR_KILL_GRACEFUL; /* save while there is time */
+      kills = TRUE;
+    }
+  }
+  if (kills && now - machine->last_report_at > kr_seconds_to_us (KR_KILL_REPEAT_S))
+    kr_shard_command_kills (shard, machine);
+  /* A cancelled task on a machine that cannot be reached: its lease may still be renewed by a
+   * response of ours on its way, so the machine goes before the users' limit. */
+  if (cancelled && now - machine->last_report_at >
+                       kr_seconds_to_us (settings->cancel_limit_s * KR_CANCEL_DELETE_SHARE)) {
+    kr_shard_delete_machine (shard, machine, "holds a cancelled task and cannot be reached");
+    return;
+  }
+  if (machine->drain && machine->attempts->len == 0)
+    kr_shard_delete_machine (shard, machine, "drained");
+  if (machine->reserved_for && now >= machine->reserved_until)
+    g_clear_pointer (&machine->reserved_for, g_free);
+}
+
+static gboolean
+tick (gpointer data)
+{
+  KrShard *shard = data;
+  const KrSettings *settings = shard->node->settings;
+  gint64 now = kr_now ();
+  guint heard = 0;
+
+  if (shard->have_record) {
+    g_autoptr (GList) all = g_hash_table_get_values (shard->machines);
+    for (GList *l = all; l; l = l->next) {
+      heard += ((KrMachine *) l->data)->lease_renewed_at != 0;
+      watch_machine (shard, l->data, now);
+    }
+  }
+  if (kr_log_debug_enabled () && shard->have_jobs && shard->ticks++ % KR_STATUS_TICKS == 0)
+    log_status (shard, now);
+  kr_shard_write_record (shard);
+  kr_shard_remove_duplicate_records (shard);
+  kr_shard_move_marked (shard);
+  kr_shard_store_summary (shard);
+  kr_shard_preempt (shard, now);
+  kr_shard_flush_progress (shard);
+  kr_shard_prune_ended (shard);
+  /* Cut off from the workers, but not from the state service: somebody else may reach them. */
+  if (heard >= 2 &&
+      now - shard->last_beat >
+          kr_seconds_to_us (2 * settings->report_interval_s + KR_SHARD_SILENCE_S) &&
+      kr_state_seconds_since_answer (shard->node->state_client) < KR_SHARD_SILENCE_S) {
+    kr_info ("part %u: no machine reports here any more, handing it on", shard->index);
+    shard->last_beat = now;
+    kr_membership_release (shard->node->membership, shard->index, KR_SHARD_SILENCE_HOLD_OFF_MS);
+  }
+  return G_SOURCE_CONTINUE;
+}
+
+static gboolean
+held_tick (gpointer data)
+{
+  kr_shard_answer_held_reports (data);
+  return G_SOURCE_CONTINUE;
+}
+
+/* --- taking over and letting go ------------------------------------------------------ */
+KrShard *
+kr_shard_new (KrNode *node, guint index, guint64 token)
+{
+  KrShard *shard = g_new0 (KrShard, 1);
+  g_ref_count_init (&shard->refs);
+  shard->node = node;
+  shard->index = index;
+  shard->token = token;
+  shard->cancel = kr_cancellable_new_child (node->cancel);
+  shard->jobs = g_hash_table_new_full (g_str_hash, g_str_equal, NULL, kr_live_job_free);
+  shard->machines = g_hash_table_new_full (g_str_hash, g_str_equal, NULL, kr_machine_free);
+  shard->ended = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
+  shard->live_jobs = g_ptr_array_new ();
+  shard->held = g_ptr_array_new ();
+  shard->used = g_new0 (KrResources, node->settings->teams->len);
+  shard->leaving = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
+  shard->taken_at = shard->last_beat = kr_now ();
+  shard->tick = kr_timer_add (KR_TICK_MS, tick, shard);
+  kr_takeover_begin (shard);
+  shard->held_tick = kr_timer_add (KR_FIRST_REPORT_HOLD_CHECK_MS, held_tick, shard);
+  kr_info ("part %u: taking over with token %" G_GUINT64_FORMAT, index, token);
+  kr_membership_relist (node->membership);
+  return shard;
+}
+
+void
+kr_shard_set_token (KrShard *shard, guint64 token)
+{
+  GHashTableIter it;
+  gpointer value;
+  shard->token = token;
+  shard->attempts = 0;
+  g_hash_table_iter_init (&it, shard->machines);
+  while (kr_shard_next_machine (shard, &it, &value)) {
+    KrMachine *machine = value;
+    /* A machine that we fenced stays ours: only this process held the key since. */
+    if (machine->must_fence && machine->fenced)
+      machine->must_fence = FALSE;
+    machine->fenced = FALSE;
+  }
+}
+
+void
+kr_shard_close (KrShard *shard)
+{
+  kr_info ("part %u: no longer ours", shard->index);
+  shard->gone = TRUE;
+  kr_timer_remove (shard->tick);
+  kr_timer_remove (shard->held_tick);
+  kr_timer_clear (&shard->fence_tick);
+  kr_timer_clear (&shard->preempt_soon);
+  while (shard->held->len)
+    let_go (shard, shard->held->pdata[0]);
+  g_cancellable_cancel (shard->cancel);
+  kr_shard_unref (shard);
+}
--- a/src/state.c
+++ b/src/state-client.c
@@ -1,96 +1,96 @@
-#include "state.h"
+#include "state-client.h"
 #include "clock.h"
 #include "constants.h"
 #include "log.h"
 
-struct KrState {
-  KrClient *client;
+struct KrStateClient {
+  KrHttpClient *client;
   char *host;
-  KrBucket *requests, *writes;
+  KrRateLimiter *requests, *writes;
   gint64 heard, failed; /* monotonic us; 0: not yet */
 };
 
 typedef struct {
-  KrState *state;
+  KrStateClient *state;
   const char *method;
   char *path;
   json_t *body;
-  KrTurn turn;
+  KrQueueClass turn;
   guint timeout_ms;
   GCancellable *cancel;
-  KrReply reply;
+  KrHttpResponseFunc reply;
   gpointer data;
-  KrBucket *limit; /* in which it waits */
-  guint timer;     /* until it has waited long enough */
+  KrRateLimiter *limit; /* in which it waits */
+  guint timer;          /* until it has waited long enough */
 } Op;
 
-KrState *
+KrStateClient *
 kr_state_new (const KrSettings *settings)
 {
-  KrState *state = g_new0 (KrState, 1);
+  KrStateClient *state = g_new0 (KrStateClient, 1);
   state->client =
-      kr_client_new (KR_STATE_CONNS, KR_STATE_CONNS, 0 /* its watches are always under way */);
+      kr_http_client_new (KR_STATE_CONNS, KR_STATE_CONNS, 0 /* its watches are always under way */);
   state->host = g_strdup (settings->state);
-  state->requests = kr_bucket_new (settings->state_rps / settings->size, 1);
-  state->writes = kr_bucket_new (settings->state_write_rps / settings->size, 1);
+  state->requests = kr_rate_limiter_new (settings->state_rps / settings->shard_count, 1);
+  state->writes = kr_rate_limiter_new (settings->state_write_rps / settings->shard_count, 1);
   return state;
 }
 
 void
-kr_state_free (KrState *state)
+kr_state_free (KrStateClient *state)
 {
-  kr_client_free (state->client);
-  kr_bucket_free (state->requests);
-  kr_bucket_free (state->writes);
+  kr_http_client_free (state->client);
+  kr_rate_limiter_free (state->requests);
+  kr_rate_limiter_free (state->writes);
   g_free (state->host);
   g_free (state);
 }
 
 double
-kr_state_write_wait (KrState *state)
+kr_state_write_wait (KrStateClient *state)
 {
-  return kr_bucket_wait_s (state->writes);
+  return kr_rate_limiter_wait_s (state->writes);
 }
 
 double
-kr_state_request_rate (KrState *state)
+kr_state_request_rate (KrStateClient *state)
 {
-  return kr_bucket_rate (state->requests);
+  return kr_rate_limiter_rate (state->requests);
 }
 
 guint
-kr_state_burst_writes (KrState *state)
+kr_state_write_burst (KrStateClient *state)
 {
-  return (guint) kr_bucket_burst (state->writes);
+  return (guint) kr_rate_limiter_burst (state->writes);
 }
 
 guint
-kr_state_spare_writes (KrState *state)
+kr_state_spare_writes (KrStateClient *state)
 {
-  return (guint) kr_bucket_spare (state->writes);
+  return (guint) kr_rate_limiter_spare (state->writes);
 }
 
 double
-kr_state_waiting_writes (KrState *state)
+kr_state_queued_writes (KrStateClient *state)
 {
-  return kr_bucket_waiting (state->writes);
+  return kr_rate_limiter_queued_cost (state->writes);
 }
 
 void
-kr_state_set_rates (KrState *state, double requests, double writes)
+kr_state_set_rates (KrStateClient *state, double requests, double writes)
 {
-  kr_bucket_set_rate (state->requests, requests);
-  kr_bucket_set_rate (state->writes, writes);
+  kr_rate_limiter_set_rate (state->requests, requests);
+  kr_rate_limiter_set_rate (state->writes, writes);
 }
 
 double
-kr_state_silence (KrState *state)
+kr_state_seconds_since_answer (KrStateClient *state)
 {
   return state->heard ? (double) (kr_now () - state->heard) / G_USEC_PER_SEC : G_MAXINT;
 }
 
 double
-kr_state_trouble (KrState *state)
+kr_state_seconds_since_failure (KrStateClient *state)
 {
   return state->failed ? (double) (kr_now () - state->failed) / G_USEC_PER_SEC : G_MAXINT;
 }
@@ -130,7 +130,7 @@
 {
   Op *op = data;
   op->timer = 0;
-  kr_bucket_leave (op->limit, op);
+  kr_rate_limiter_cancel (op->limit, op);
   op_refuse (op);
   return G_SOURCE_REMOVE;
 }
@@ -144,8 +144,8 @@
     return;
   }
   kr_timer_clear (&op->timer);
-  kr_client_call (op->state->client, op->method, op->state->host, op->path,
-                  g_steal_pointer (&op->body), op->timeout_ms, op->cancel, op_done, op);
+  kr_http_client_call (op->state->client, op->method, op->state->host, op->path,
+                       g_steal_pointer (&op->body), op->timeout_ms, op->cancel, op_done, op);
 }
 
 static void
@@ -154,14 +154,15 @@
   Op *op = data;
   op->limit = op->state->requests;
   if (granted)
-    kr_bucket_take (op->limit, 1, op->turn, op_send, op);
+    kr_rate_limiter_acquire (op->limit, 1, op->turn, op_send, op);
   else
     op_refuse (op);
 }
 
 static void
-start (KrState *state, const char *method, char *path, json_t *body, double puts, KrTurn turn,
-       guint timeout_ms, GCancellable *cancel, KrReply reply, gpointer data)
+start (KrStateClient *state, const char *method, char *path, json_t *body, double puts,
+       KrQueueClass turn, guint timeout_ms, GCancellable *cancel, KrHttpResponseFunc reply,
+       gpointer data)
 {
   Op *op = g_new0 (Op, 1);
   *op = (Op){ .state = state,
@@ -174,60 +175,62 @@
               .reply = reply,
               .data = data,
               .limit = state->writes };
-  op->timer = kr_timer_add (turn == KR_LAST ? timeout_ms : KR_LIMIT_WAIT_MS, op_late, op);
+  op->timer =
+      kr_timer_add (turn == KR_QUEUE_LOW ? timeout_ms : KR_LIMITER_WAIT_MAX_MS, op_late, op);
   if (puts > 0)
-    kr_bucket_take (op->limit, puts, turn, op_request, op);
+    kr_rate_limiter_acquire (op->limit, puts, turn, op_request, op);
   else
     op_request (TRUE, op);
 }
 
 void
-kr_state_get (KrState *state, const char *key, KrTurn turn, guint timeout_ms, GCancellable *cancel,
-              KrReply reply, gpointer data)
+kr_state_get (KrStateClient *state, const char *key, KrQueueClass turn, guint timeout_ms,
+              GCancellable *cancel, KrHttpResponseFunc reply, gpointer data)
 {
   start (state, "GET", kr_wire_key_path (key), NULL, 0, turn, timeout_ms, cancel, reply, data);
 }
 
 void
-kr_state_changes (KrState *state, const char *prefix, guint64 after, guint timeout_ms,
-                  GCancellable *cancel, KrReply reply, gpointer data)
+kr_state_changes (KrStateClient *state, const char *prefix, guint64 after, guint timeout_ms,
+                  GCancellable *cancel, KrHttpResponseFunc reply, gpointer data)
 {
-  start (state, "GET", kr_wire_follow_path (prefix, after, 0), NULL, 0, KR_NORMAL, timeout_ms,
+  start (state, "GET", kr_wire_watch_path (prefix, after, 0), NULL, 0, KR_QUEUE_NORMAL, timeout_ms,
          cancel, reply, data);
 }
 
 void
-kr_state_commit (KrState *state, KrTxn *txn, KrTurn turn, guint timeout_ms, GCancellable *cancel,
-                 KrReply reply, gpointer data)
+kr_state_commit (KrStateClient *state, KrTxn *txn, KrQueueClass turn, guint timeout_ms,
+                 GCancellable *cancel, KrHttpResponseFunc reply, gpointer data)
 {
-  start (state, "POST", g_strdup (KR_PATH_COMMIT), kr_txn_body (txn), kr_txn_ops (txn), turn,
-         timeout_ms, cancel, reply, data);
+  start (state, "POST", g_strdup (KR_PATH_COMMIT), kr_txn_to_json (txn), kr_txn_write_count (txn),
+         turn, timeout_ms, cancel, reply, data);
   kr_txn_free (txn);
 }
 
 void
-kr_state_lease (KrState *state, guint64 lease, guint life_ms, GCancellable *cancel, KrReply reply,
-                gpointer data)
+kr_state_grant_or_renew_lease (KrStateClient *state, guint64 lease, guint life_ms,
+                               GCancellable *cancel, KrHttpResponseFunc reply, gpointer data)
 {
   start (state, "POST", lease ? kr_wire_lease_extend_path (lease) : g_strdup (KR_PATH_LEASES),
-         kr_wire_lease_body (life_ms), 0, KR_FIRST, KR_STATE_TIMEOUT_MS, cancel, reply, data);
+         kr_wire_lease_request (life_ms), 0, KR_QUEUE_HIGH, KR_STATE_TIMEOUT_MS, cancel, reply,
+         data);
 }
 
 void
-kr_state_end_lease (KrState *state, guint64 lease, GCancellable *cancel, KrReply reply,
-                    gpointer data)
+kr_state_revoke_lease (KrStateClient *state, guint64 lease, GCancellable *cancel,
+                       KrHttpResponseFunc reply, gpointer data)
 {
-  start (state, "DELETE", kr_wire_lease_path (lease), NULL, 0, KR_FIRST, KR_STATE_TIMEOUT_MS,
+  start (state, "DELETE", kr_wire_lease_path (lease), NULL, 0, KR_QUEUE_HIGH, KR_STATE_TIMEOUT_MS,
          cancel, reply, data);
 }
 
 /* --- follower ------------------------------------------------------------------------ */
-struct KrFollow {
-  KrState *state;
+struct KrWatch {
+  KrStateClient *state;
   char *prefix;
   GCancellable *parent, *cancel; /* cancel: of the call under way */
-  KrFollowScan on_scan;
-  KrFollowEvent on_event;
+  KrWatchListFunc on_scan;
+  KrWatchEventFunc on_event;
   gpointer data;
   guint64 from;
   gboolean scanned;
@@ -238,23 +241,23 @@
 
 /* A call under way; it may outlive the follower's interest in it. */
 typedef struct {
-  KrFollow *follow;
+  KrWatch *follow;
   GCancellable *cancel;
 } Turn;
 
-static void step (KrFollow *follow);
+static void step (KrWatch *follow);
 
 static gboolean
 step_again (gpointer data)
 {
-  KrFollow *follow = data;
+  KrWatch *follow = data;
   follow->timer = 0;
   step (follow);
   return G_SOURCE_REMOVE;
 }
 
 static void
-step_later (KrFollow *follow, guint ms)
+step_later (KrWatch *follow, guint ms)
 {
   kr_timer_clear (&follow->timer);
   follow->timer = kr_timer_add (ms, step_again, follow);
@@ -262,7 +265,7 @@
 
 /* Drops the interest in the call under way. */
 static void
-leave_call (KrFollow *follow)
+leave_call (KrWatch *follow)
 {
   GCancellable *cancel = g_steal_pointer (&follow->cancel);
   if (!cancel)
@@ -275,23 +278,23 @@
 static gboolean
 call_lost (gpointer data)
 {
-  KrFollow *follow = data;
+  KrWatch *follow = data;
   follow->timer = 0;
   kr_info ("state: a read of %s had no end, reading on", follow->prefix);
   leave_call (follow);
-  step_later (follow, KR_RETRY_MS);
+  step_later (follow, KR_STATE_RETRY_MS);
   return G_SOURCE_REMOVE;
 }
 
 static void
-scan_page (KrFollow *follow, json_t *body)
+scan_page (KrWatch *follow, json_t *body)
 {
   gboolean more;
-  json_t *items = kr_wire_items (body, &more);
-  KrItem last;
+  json_t *items = kr_wire_store_list_items (body, &more);
+  KrKeyValue last;
 
   if (!json_is_array (items)) {
-    step_later (follow, KR_RETRY_MS);
+    step_later (follow, KR_STATE_RETRY_MS);
     return;
   }
   if (!follow->items) {
@@ -300,7 +303,7 @@
   }
   json_array_extend (follow->items, items);
   if (more && json_array_size (items) > 0 &&
-      kr_wire_item_parse (json_array_get (items, json_array_size (items) - 1), &last)) {
+      kr_wire_key_value_parse (json_array_get (items, json_array_size (items) - 1), &last)) {
     step (follow);
     return;
   }
@@ -310,13 +313,13 @@
   follow->on_scan (all, follow->from, follow->data);
   json_decref (all);
   if (follow->scanned && !follow->cancel)
-    step_later (follow, KR_FOLLOW_PAUSE_MS);
+    step_later (follow, KR_WATCH_INTERVAL_MS);
 }
 
 static void
-events (KrFollow *follow, json_t *body)
+events (KrWatch *follow, json_t *body)
 {
-  json_t *a = kr_wire_events (body), *o;
+  json_t *a = kr_wire_watch_events (body), *o;
   size_t i;
   guint64 revision = kr_wire_revision (body);
 
@@ -324,20 +327,20 @@
     follow->from = revision;
   json_array_foreach (a, i, o)
   {
-    KrItem item;
-    if (kr_wire_event_parse (o, &item))
+    KrKeyValue item;
+    if (kr_wire_watch_event_parse (o, &item))
       follow->on_event (&item, follow->data);
     if (!follow->scanned) /* an event made somebody ask for a rescan */
       return;
   }
-  step_later (follow, KR_FOLLOW_PAUSE_MS);
+  step_later (follow, KR_WATCH_INTERVAL_MS);
 }
 
 static void
 step_done (guint status, json_t *body, gpointer data)
 {
   Turn *turn = data;
-  KrFollow *follow = turn->follow;
+  KrWatch *follow = turn->follow;
   gboolean current = follow->cancel == turn->cancel;
 
   g_object_unref (turn->cancel);
@@ -348,9 +351,9 @@
   kr_timer_clear (&follow->timer);
   if (status == 410) {
     kr_info ("state: watch of %s is too old, reading it anew", follow->prefix);
-    kr_follow_rescan (follow);
+    kr_watch_relist (follow);
   } else if (status != 200)
-    step_later (follow, KR_RETRY_MS);
+    step_later (follow, KR_STATE_RETRY_MS);
   else if (follow->scanned)
     events (follow, body);
   else
@@ -358,37 +361,38 @@
 }
 
 static void
-step (KrFollow *follow)
+step (KrWatch *follow)
 {
   Turn *turn = g_new (Turn, 1);
   char *path;
   guint timeout = KR_STATE_TIMEOUT_MS;
 
   if (follow->scanned) {
-    path = kr_wire_follow_path (follow->prefix, follow->from, KR_FOLLOW_HOLD_MS);
-    timeout = KR_FOLLOW_HOLD_MS + KR_FOLLOW_SLACK_MS;
+    path = kr_wire_watch_path (follow->prefix, follow->from, KR_WATCH_HOLD_MS);
+    timeout = KR_WATCH_HOLD_MS + KR_WATCH_TIMEOUT_SLACK_MS;
   } else {
-    KrItem last = { 0 };
+    KrKeyValue last = { 0 };
     size_t n = json_array_size (follow->items);
     if (n)
-      kr_wire_item_parse (json_array_get (follow->items, n - 1), &last);
-    path = kr_wire_scan_path (follow->prefix, last.key, KR_SCAN_PAGE);
+      kr_wire_key_value_parse (json_array_get (follow->items, n - 1), &last);
+    path = kr_wire_store_list_path (follow->prefix, last.key, KR_STORE_LIST_PAGE_KEYS);
   }
-  follow->cancel = kr_cancellable_child (follow->parent);
+  follow->cancel = kr_cancellable_new_child (follow->parent);
   *turn = (Turn){ follow, g_object_ref (follow->cancel) };
   kr_timer_clear (&follow->timer);
-  follow->timer = kr_timer_add (timeout + KR_FOLLOW_LOST_MS, call_lost, follow);
-  start (follow->state, "GET", path, NULL, 0, KR_FIRST, timeout, follow->cancel, step_done, turn);
+  follow->timer = kr_timer_add (timeout + KR_WATCH_LOST_MS, call_lost, follow);
+  start (follow->state, "GET", path, NULL, 0, KR_QUEUE_HIGH, timeout, follow->cancel, step_done,
+         turn);
 }
 
-KrFollow *
-kr_follow_new (KrState *state, const char *prefix, GCancellable *cancel, KrFollowScan on_scan,
-               KrFollowEvent on_event, gpointer data)
+KrWatch *
+kr_watch_new (KrStateClient *state, const char *prefix, GCancellable *cancel,
+              KrWatchListFunc on_scan, KrWatchEventFunc on_event, gpointer data)
 {
-  KrFollow *follow = g_new0 (KrFollow, 1);
+  KrWatch *follow = g_new0 (KrWatch, 1);
   follow->state = state;
   follow->prefix = g_strdup (prefix);
-  follow->parent = kr_cancellable_child (cancel);
+  follow->parent = kr_cancellable_new_child (cancel);
   follow->on_scan = on_scan;
   follow->on_event = on_event;
   follow->data = data;
@@ -396,7 +400,7 @@
 }
 
 void
-kr_follow_stop (KrFollow *follow)
+kr_watch_stop (KrWatch *follow)
 {
   kr_timer_clear (&follow->timer);
   g_clear_pointer (&follow->items, json_decref);
@@ -405,14 +409,14 @@
 }
 
 void
-kr_follow_rescan (KrFollow *follow)
+kr_watch_relist (KrWatch *follow)
 {
-  kr_follow_stop (follow);
+  kr_watch_stop (follow);
   step (follow);
 }
 
 guint64
-kr_follow_revision (const KrFollow *follow)
+kr_watch_revision (const KrWatch *follow)
 {
   return follow->scanned ? follow->from : 0;
 }
