--- a/src/wire.c
+++ b/src/wire.c
@@ -42,10 +42,10 @@
 static const char *const job_words[] = { "pending", "running", "done", "cancelled" };
 
 void
-kr_spec_free (KrSpec *spec)
+kr_job_spec_free (KrJobSpec *spec)
 {
   g_free (spec->id);
-  g_free (spec->lane);
+  g_free (spec->job_class);
   g_free (spec->team);
   g_free (spec->image);
   g_free (spec->zone);
@@ -128,10 +128,10 @@
 }
 
 /* Only what may be null may be missing: Hulls, Harbor, TideS. */
-KrSpec *
+KrJobSpec *
 kr_wire_spec_parse (json_t *body, GError **error)
 {
-  g_autoptr (KrSpec) s = g_new0 (KrSpec, 1);
+  g_autoptr (KrJobSpec) s = g_new0 (KrJobSpec, 1);
   GError *fault = NULL;
 
   if (!json_is_object (body)) {
@@ -141,10 +141,10 @@
   s->id = need_str (body, "Id", &fault);
   if (s->id && !kr_wire_is_job_id (s->id))
     bad (&fault, "Id");
-  s->lane = need_str (body, "Lane", &fault);
+  s->job_class = need_str (body, "Lane", &fault);
   s->team = need_str (body, "Crew", &fault);
-  s->form = word_of (body, "Form", form_words, G_N_ELEMENTS (form_words), &fault);
-  s->rank = word_of (body, "Rank", rank_words, G_N_ELEMENTS (rank_words), &fault);
+  s->kind = word_of (body, "Form", form_words, G_N_ELEMENTS (form_words), &fault);
+  s->priority = word_of (body, "Rank", rank_words, G_N_ELEMENTS (rank_words), &fault);
   if (!json_is_integer (json_object_get (body, "Shifts")))
     bad (&fault, "Shifts");
   s->tasks = (guint) need_num (body, "Shifts", 1, 100000, &fault);
@@ -172,11 +172,11 @@
   }
   s->zone = maybe_str (body, "Harbor", &fault);
   s->one_zone = need_bool (body, "OneZone", &fault);
-  s->apart = need_bool (body, "Apart", &fault);
-  s->spot = need_bool (body, "Driftwood", &fault);
-  s->estimate_s = need_num (body, "SailS", 0, 1e9, &fault);
-  s->checkpoint_s = need_num (body, "MooringS", 0, 1e9, &fault);
-  s->save_s = need_num (body, "StowS", 0, 1e9, &fault);
+  s->spread_zones = need_bool (body, "Apart", &fault);
+  s->spot_allowed = need_bool (body, "Driftwood", &fault);
+  s->run_estimate_s = need_num (body, "SailS", 0, 1e9, &fault);
+  s->checkpoint_interval_s = need_num (body, "MooringS", 0, 1e9, &fault);
+  s->checkpoint_save_s = need_num (body, "StowS", 0, 1e9, &fault);
   s->deadline_s = is_null (body, "TideS") ? NAN : need_num (body, "TideS", 0, 1e9, &fault);
   if (fault) {
     g_propagate_error (error, fault);
@@ -192,7 +192,7 @@
 }
 
 json_t *
-kr_wire_spec_build (const KrSpec *spec)
+kr_wire_spec_build (const KrJobSpec *spec)
 {
   json_t *types = json_null ();
   if (spec->types) {
@@ -201,13 +201,14 @@
       json_array_append_new (types, json_string (*t));
   }
   return json_pack ("{ss ss ss ss ss sI sf sf sf ss sf so so sb sb sb sf sf sf so}", "Id", spec->id,
-                    "Lane", spec->lane, "Crew", spec->team, "Form", form_words[spec->form], "Rank",
-                    rank_words[spec->rank], "Shifts", (json_int_t) spec->tasks, "Cores", spec->cpus,
-                    "Accelerators", spec->gpus, "MemGb", spec->mem_gb, "Cargo", spec->image,
-                    "PullGb", spec->image_gb, "Hulls", types, "Harbor", string_or_null (spec->zone),
-                    "OneZone", spec->one_zone, "Apart", spec->apart, "Driftwood", spec->spot,
-                    "SailS", spec->estimate_s, "MooringS", spec->checkpoint_s, "StowS",
-                    spec->save_s, "TideS",
+                    "Lane", spec->job_class, "Crew", spec->team, "Form", form_words[spec->kind],
+                    "Rank", rank_words[spec->priority], "Shifts", (json_int_t) spec->tasks, "Cores",
+                    spec->cpus, "Accelerators", spec->gpus, "MemGb", spec->mem_gb, "Cargo",
+                    spec->image, "PullGb", spec->image_gb, "Hulls", types, "Harbor",
+                    string_or_null (spec->zone), "OneZone", spec->one_zone, "Apart",
+                    spec->spread_zones, "Driftwood", spec->spot_allowed, "SailS",
+                    spec->run_estimate_s, "MooringS", spec->checkpoint_interval_s, "StowS",
+                    spec->checkpoint_save_s, "TideS",
                     isnan (spec->deadline_s) ? json_null () : json_real (spec->deadline_s));
 }
 
@@ -242,7 +243,7 @@
   if (g_str_equal (path, "/ready"))
     return get ? KR_ROUTE_READY : KR_ROUTE_BAD_METHOD;
   if (g_str_equal (path, "/agent/beat"))
-    return post ? KR_ROUTE_BEAT : KR_ROUTE_BAD_METHOD;
+    return post ? KR_ROUTE_REPORT : KR_ROUTE_BAD_METHOD;
   if (g_str_equal (path, "/api/jobs"))
     return post ? KR_ROUTE_SUBMIT : KR_ROUTE_BAD_METHOD;
   if (!g_str_has_prefix (path, "/api/jobs/"))
@@ -283,21 +284,21 @@
   return KR_TASK_RUNNING;
 }
 
-static KrWhy
+static KrExitReason
 why (const char *s)
 {
   if (!s)
-    return KR_WHY_NONE;
+    return KR_EXIT_NONE;
   if (g_str_equal (s, "done"))
-    return KR_WHY_DONE;
+    return KR_EXIT_DONE;
   /* A gang's tasks end by themselves when others are missing: no failure of theirs. */
   if (g_str_equal (s, "stopped") || g_str_equal (s, "peers") || g_str_equal (s, "alone"))
-    return KR_WHY_STOPPED;
+    return KR_EXIT_STOPPED;
   if (g_str_equal (s, "no_room") || g_str_equal (s, "in_use"))
-    return KR_WHY_REFUSED;
+    return KR_EXIT_REFUSED;
   if (g_str_equal (s, "unknown"))
-    return KR_WHY_UNKNOWN;
-  return KR_WHY_ERROR;
+    return KR_EXIT_UNKNOWN;
+  return KR_EXIT_ERROR;
 }
 
 KrReport *
@@ -319,7 +320,7 @@
   r->session = uint_of (body, "Watch");
   r->seq = uint_of (body, "Log");
   r->token = uint_of (body, "Helm");
-  r->notice_s = is_null (body, "RecallS") ? NAN : num (body, "RecallS");
+  r->reclaim_notice_s = is_null (body, "RecallS") ? NAN : num (body, "RecallS");
   json_array_foreach (tasks, i, t)
   {
     const char *name = str (t, "Shift");
@@ -349,31 +350,33 @@
 }
 
 static json_t *
-order (json_t *orders, const char *word, const char *job, guint index, guint64 attempt)
+order (json_t *orders, const char *word, const char *job, guint index, guint64 attempt_id)
 {
   g_autofree char *shift = g_strdup_printf ("%s/%u", job, index);
   json_t *o =
-      json_pack ("{ss ss sI}", "Order", word, "Shift", shift, "Launch", (json_int_t) attempt);
+      json_pack ("{ss ss sI}", "Order", word, "Shift", shift, "Launch", (json_int_t) attempt_id);
   json_array_append_new (json_object_get (orders, "Orders"), o);
   return o;
 }
 
 void
-kr_wire_order_run (json_t *orders, const char *job, guint index, guint64 attempt)
+kr_wire_order_run (json_t *orders, const char *job, guint index, guint64 attempt_id)
 {
-  order (orders, "run", job, index, attempt);
+  order (orders, "run", job, index, attempt_id);
 }
 
 void
-kr_wire_order_kill (json_t *orders, const char *job, guint index, guint64 attempt, double slack_s)
+kr_wire_order_kill (json_t *orders, const char *job, guint index, guint64 attempt_id,
+                    double slack_s)
 {
-  json_object_set_new (order (orders, "kill", job, index, attempt), "SlackS", json_real (slack_s));
+  json_object_set_new (order (orders, "kill", job, index, attempt_id), "SlackS",
+                       json_real (slack_s));
 }
 
 void
-kr_wire_order_clear (json_t *orders, const char *job, guint index, guint64 attempt)
+kr_wire_order_clear (json_t *orders, const char *job, guint index, guint64 attempt_id)
 {
-  order (orders, "clear", job, index, attempt);
+  order (orders, "clear", job, index, attempt_id);
 }
 
 guint
@@ -390,9 +393,9 @@
 
 /* --- cloud --------------------------------------------------------------------------- */
 void
-kr_type_free (gpointer data)
+kr_machine_type_free (gpointer data)
 {
-  KrType *type = data;
+  KrMachineType *type = data;
   g_free (type->name);
   g_strfreev (type->zones);
   g_free (type);
@@ -405,20 +408,20 @@
   size_t i, k;
   if (!json_is_array (a))
     return NULL;
-  g_autoptr (GPtrArray) out = g_ptr_array_new_with_free_func (kr_type_free);
+  g_autoptr (GPtrArray) out = g_ptr_array_new_with_free_func (kr_machine_type_free);
   json_array_foreach (a, i, o)
   {
     json_t *zones = json_object_get (o, "Harbors");
     if (!str (o, "Name") || !json_is_array (zones))
       return NULL;
-    KrType *type = g_new0 (KrType, 1);
+    KrMachineType *type = g_new0 (KrMachineType, 1);
     g_ptr_array_add (out, type);
     type->name = g_strdup (str (o, "Name"));
     type->cpus = num (o, "Cores");
     type->gpus = num (o, "Accelerators");
     type->mem_gb = num (o, "MemGb");
     type->cache_gb = num (o, "CacheGb");
-    type->pull_gb_s = num (o, "PullGbPerS");
+    type->image_pull_gb_per_s = num (o, "PullGbPerS");
     type->price = num (o, "Rate");
     type->spot_price = num (o, "MarketPrice");
     type->boot_s = num (o, "ReadyS");
@@ -440,7 +443,8 @@
 }
 
 json_t *
-kr_wire_rental (const char *request, const char *type, const char *zone, gboolean spot, guint count)
+kr_wire_rental_request (const char *request, const char *type, const char *zone, gboolean spot,
+                        guint count)
 {
   return json_pack ("{ss ss ss sb sI}", "Charter", request, "Hull", type, "Harbor", zone,
                     "Driftwood", spot, "Number", (json_int_t) count);
@@ -459,7 +463,7 @@
 }
 
 json_t *
-kr_wire_deletion (char **ids)
+kr_wire_deletion_request (char **ids)
 {
   json_t *a = json_array ();
   for (; *ids; ids++)
@@ -468,14 +472,14 @@
 }
 
 char *
-kr_wire_list_path (const char *after, guint limit)
+kr_wire_machine_list_path (const char *after, guint limit)
 {
   return g_strdup_printf ("/rentals?%s%s%sPage=%u", after ? "From=" : "", after ? after : "",
                           after ? "&" : "", limit);
 }
 
 gboolean
-kr_wire_list_parse (json_t *body, GPtrArray *out, gboolean *more)
+kr_wire_machine_list_parse (json_t *body, GPtrArray *out, gboolean *more)
 {
   json_t *a = json_object_get (body, "Berths"), *o;
   size_t i;
@@ -496,7 +500,7 @@
     listed->state = g_strcmp0 (s, "starting") == 0 ? KR_MACHINE_STARTING
                     : g_strcmp0 (s, "failed") == 0 ? KR_MACHINE_FAILED
                                                    : KR_MACHINE_RUNNING;
-    listed->held_s = num (o, "HeldS");
+    listed->age_s = num (o, "HeldS");
   }
   *more = truth (body, "More");
   return TRUE;
@@ -521,7 +525,7 @@
 }
 
 void
-kr_txn_when (KrTxn *txn, const char *key, guint64 revision)
+kr_txn_expect_revision (KrTxn *txn, const char *key, guint64 revision)
 {
   json_array_append_new (txn->when,
                          json_pack ("{ss sI}", "Key", key, "Mark", (json_int_t) revision));
@@ -543,13 +547,13 @@
 }
 
 guint
-kr_txn_ops (KrTxn *txn)
+kr_txn_write_count (KrTxn *txn)
 {
   return (guint) json_array_size (txn->writes);
 }
 
 json_t *
-kr_txn_body (KrTxn *txn)
+kr_txn_to_json (KrTxn *txn)
 {
   return json_pack ("{sO sO}", "When", txn->when, "Writes", txn->writes);
 }
@@ -561,21 +565,21 @@
 }
 
 char *
-kr_wire_scan_path (const char *prefix, const char *after, guint limit)
+kr_wire_store_list_path (const char *prefix, const char *after, guint limit)
 {
   return g_strdup_printf ("/store?Prefix=%s%s%s&Page=%u", prefix, after ? "&From=" : "",
                           after ? after : "", limit);
 }
 
 char *
-kr_wire_follow_path (const char *prefix, guint64 after, guint hold_ms)
+kr_wire_watch_path (const char *prefix, guint64 after, guint hold_ms)
 {
   return g_strdup_printf ("/follow?Prefix=%s&From=%" G_GUINT64_FORMAT "&HoldMs=%u", prefix, after,
                           hold_ms);
 }
 
 json_t *
-kr_wire_lease_body (guint life_ms)
+kr_wire_lease_request (guint life_ms)
 {
   return json_pack ("{sI}", "LifeMs", (json_int_t) life_ms);
 }
@@ -605,7 +609,7 @@
 }
 
 gboolean
-kr_wire_item_parse (json_t *body, KrItem *item)
+kr_wire_key_value_parse (json_t *body, KrKeyValue *item)
 {
   item->key = str (body, "Key");
   item->value = json_object_get (body, "Value");
@@ -614,20 +618,20 @@
 }
 
 json_t *
-kr_wire_items (json_t *body, gboolean *more)
+kr_wire_store_list_items (json_t *body, gboolean *more)
 {
   *more = truth (body, "More");
   return json_object_get (body, "Items");
 }
 
 json_t *
-kr_wire_events (json_t *body)
+kr_wire_watch_events (json_t *body)
 {
   return json_object_get (body, "Events");
 }
 
 gboolean
-kr_wire_event_parse (json_t *event, KrItem *item)
+kr_wire_watch_event_parse (json_t *event, KrKeyValue *item)
 {
   item->key = str (event, "Put");
   item->value = item->key ? json_object_get (event, "Value") : NULL;
@@ -638,7 +642,7 @@
 }
 
 gboolean
-kr_wire_failed_has (json_t *body, const char *key)
+kr_wire_commit_failed_on (json_t *body, const char *key)
 {
   json_t *v;
   size_t i;
--- a/tests/world.c
+++ b/tests/fakes.c
@@ -1,10 +1,10 @@
 /* The world around the nodes: stand-ins of the state service, the cloud, the workers and the users
  * by the published protocol, and a plain checker of the rules. Time and messages are the backend's.
  */
-#include "world.h"
+#include "fakes.h"
 #include "liveness.h"
 #include "constants.h"
-#include "part.h"
+#include "shard.h"
 #include "wire.h"
 #include <math.h>
 #include <string.h>
@@ -12,16 +12,16 @@
 #define TXN_BYTES 65536     /* of a transaction, by the protocol */
 #define RECORDS "c/berths/" /* prefix of the parts' records of their machines */
 
-World world;
+Fakes fakes;
 
 void
-world_broken (const char *format, ...)
+record_violation (const char *format, ...)
 {
   va_list args;
   va_start (args, format);
-  g_string_append_printf (world.broken, "%.3f ", sim_now ());
-  g_string_append_vprintf (world.broken, format, args);
-  g_string_append_c (world.broken, '\n');
+  g_string_append_printf (fakes.violations, "%.3f ", sim_now ());
+  g_string_append_vprintf (fakes.violations, format, args);
+  g_string_append_c (fakes.violations, '\n');
   va_end (args);
 }
 
@@ -32,40 +32,40 @@
   gpointer data;
 } Message;
 
-SimCut
-world_cut (const char *from, const char *to)
+SimLinkState
+fakes_link_state (const char *from, const char *to)
 {
   g_autofree char *key = g_strdup_printf ("%s>%s", from, to);
-  return GPOINTER_TO_INT (g_hash_table_lookup (world.cuts, key));
+  return GPOINTER_TO_INT (g_hash_table_lookup (fakes.links, key));
 }
 
 void
-world_deliver (const char *from, const char *to, GSourceFunc func, gpointer data)
+fakes_deliver (const char *from, const char *to, GSourceFunc func, gpointer data)
 {
-  SimCut c = world_cut (from, to);
-  if (c == SIM_DROP)
+  SimLinkState c = fakes_link_state (from, to);
+  if (c == SIM_LINK_DROP)
     return;
-  if (c == SIM_HOLD) {
+  if (c == SIM_LINK_HOLD) {
     Message *m = g_new (Message, 1);
     *m = (Message){ g_strdup (from), g_strdup (to), func, data };
-    g_ptr_array_add (world.held, m);
+    g_ptr_array_add (fakes.held_messages, m);
     return;
   }
-  double late = g_str_equal (from, "state") ? g_rand_double (world.rng) * world.slow : 0;
-  world_later (late + g_rand_double_range (world.rng, 0.0003, 0.004), func, data);
+  double late = g_str_equal (from, "state") ? g_rand_double (fakes.rng) * fakes.state_delay_s : 0;
+  schedule_after (late + g_rand_double_range (fakes.rng, 0.0003, 0.004), func, data);
 }
 
 void
-sim_cut (const char *from, const char *to, SimCut how)
+sim_set_link (const char *from, const char *to, SimLinkState how)
 {
-  g_hash_table_replace (world.cuts, g_strdup_printf ("%s>%s", from, to), GINT_TO_POINTER (how));
-  if (how != SIM_OPEN)
+  g_hash_table_replace (fakes.links, g_strdup_printf ("%s>%s", from, to), GINT_TO_POINTER (how));
+  if (how != SIM_LINK_UP)
     return;
-  g_autoptr (GPtrArray) old = g_steal_pointer (&world.held);
-  world.held = g_ptr_array_new ();
+  g_autoptr (GPtrArray) old = g_steal_pointer (&fakes.held_messages);
+  fakes.held_messages = g_ptr_array_new ();
   for (guint i = 0; i < old->len; i++) {
     Message *m = old->pdata[i];
-    world_deliver (m->from, m->to, m->func, m->data);
+    fakes_deliver (m->from, m->to, m->func, m->data);
     g_free (m->from);
     g_free (m->to);
     g_free (m);
@@ -73,10 +73,10 @@
 }
 
 void
-sim_cut_both (const char *a, const char *b, SimCut how)
+sim_set_link_both (const char *a, const char *b, SimLinkState how)
 {
-  sim_cut (a, b, how);
-  sim_cut (b, a, how);
+  sim_set_link (a, b, how);
+  sim_set_link (b, a, how);
 }
 
 /* A late copy of a request: nobody reads its answer. */
@@ -85,7 +85,7 @@
   json_t *body;
 } Copy;
 
-gboolean world_copying;
+gboolean fakes_sending_duplicate;
 
 static void
 copy_answered (guint status, json_t *body, gpointer data)
@@ -96,9 +96,9 @@
 copy_arrives (gpointer data)
 {
   Copy *c = data;
-  world_copying = TRUE;
-  world_call (c->from, c->method, c->to, c->path, c->body, 4, copy_answered, NULL);
-  world_copying = FALSE;
+  fakes_sending_duplicate = TRUE;
+  fakes_call (c->from, c->method, c->to, c->path, c->body, 4, copy_answered, NULL);
+  fakes_sending_duplicate = FALSE;
   g_free (c->from);
   g_free (c->method);
   g_free (c->to);
@@ -108,12 +108,13 @@
 }
 
 void
-world_copy (const char *from, const char *method, const char *to, const char *path, json_t *body)
+fakes_send_duplicate_later (const char *from, const char *method, const char *to, const char *path,
+                            json_t *body)
 {
   Copy *c = g_new (Copy, 1);
   *c = (Copy){ g_strdup (from), g_strdup (method), g_strdup (to), g_strdup (path),
                json_deep_copy (body) };
-  world_later (exp (g_rand_double_range (world.rng, 0, log (60))), copy_arrives, c);
+  schedule_after (exp (g_rand_double_range (fakes.rng, 0, log (60))), copy_arrives, c);
 }
 
 /* --- the state service ---------------------------------------------------------------------- */
@@ -151,11 +152,11 @@
 changes_after (const char *prefix, guint64 from)
 {
   json_t *a = json_array ();
-  guint first = world.changes->len;
-  while (first && g_array_index (world.changes, Change, first - 1).mark > from)
+  guint first = fakes.changes->len;
+  while (first && g_array_index (fakes.changes, Change, first - 1).mark > from)
     first--;
-  for (guint i = first; i < world.changes->len; i++) {
-    Change *c = &g_array_index (world.changes, Change, i);
+  for (guint i = first; i < fakes.changes->len; i++) {
+    Change *c = &g_array_index (fakes.changes, Change, i);
     if (!g_str_has_prefix (c->key, prefix))
       continue;
     json_array_append_new (
@@ -169,7 +170,7 @@
 static gboolean
 refused (const char *from)
 {
-  return world.outage || (from[0] == 'n' && world.refuse[atoi (from + 1)]);
+  return fakes.outage || (from[0] == 'n' && fakes.refuse_node[atoi (from + 1)]);
 }
 
 typedef struct {
@@ -181,7 +182,7 @@
 answer_late (gpointer data)
 {
   LateAnswer *late = data;
-  world_answer_call (late->call, 200, late->answer);
+  fakes_respond (late->call, 200, late->answer);
   g_free (late);
   return FALSE;
 }
@@ -191,10 +192,10 @@
 answer_follow (Call *call, json_t *events)
 {
   LateAnswer *late = g_new (LateAnswer, 1);
-  *late = (LateAnswer){ call, json_pack ("{sI so}", "Ledger", (json_int_t) world.revision, "Events",
+  *late = (LateAnswer){ call, json_pack ("{sI so}", "Ledger", (json_int_t) fakes.revision, "Events",
                                          events) };
-  if (world.slow_watches > 0)
-    world_later (world.slow_watches, answer_late, late);
+  if (fakes.watch_delay_s > 0)
+    schedule_after (fakes.watch_delay_s, answer_late, late);
   else
     answer_late (late);
 }
@@ -202,17 +203,17 @@
 static void
 wake_follows (void)
 {
-  for (guint i = world.follows->len; i-- > 0;) {
-    Follow *f = world.follows->pdata[i];
+  for (guint i = fakes.watches->len; i-- > 0;) {
+    Follow *f = fakes.watches->pdata[i];
     if (refused (f->call->from))
       continue;
     json_t *a = changes_after (f->prefix, f->from);
-    if (json_array_size (a) == 0 && world.now < f->until) {
+    if (json_array_size (a) == 0 && fakes.now < f->until) {
       json_decref (a);
       continue;
     }
     answer_follow (f->call, a);
-    g_ptr_array_remove_index (world.follows, i);
+    g_ptr_array_remove_index (fakes.watches, i);
   }
 }
 
@@ -226,23 +227,23 @@
 static void
 change (const char *key, json_t *value, guint64 lease)
 {
-  Change c = { g_strdup (key), json_incref (value), world.revision };
-  g_array_append_val (world.changes, c);
+  Change c = { g_strdup (key), json_incref (value), fakes.revision };
+  g_array_append_val (fakes.changes, c);
   if (value) {
     Entry *e = g_new (Entry, 1);
-    *e = (Entry){ json_incref (value), world.revision, lease };
-    g_hash_table_replace (world.store, g_strdup (key), e);
+    *e = (Entry){ json_incref (value), fakes.revision, lease };
+    g_hash_table_replace (fakes.store, g_strdup (key), e);
   } else
-    g_hash_table_remove (world.store, key);
+    g_hash_table_remove (fakes.store, key);
 }
 
 static void
 remove_keys_of (guint64 lease)
 {
-  g_autoptr (GList) keys = g_hash_table_get_keys (world.store);
-  world.revision++;
+  g_autoptr (GList) keys = g_hash_table_get_keys (fakes.store);
+  fakes.revision++;
   for (GList *l = keys; l; l = l->next) {
-    Entry *e = g_hash_table_lookup (world.store, l->data);
+    Entry *e = g_hash_table_lookup (fakes.store, l->data);
     if (e->lease == lease) {
       g_autofree char *key = g_strdup (l->data);
       change (key, NULL, 0);
@@ -255,15 +256,15 @@
 {
   GHashTableIter it;
   gpointer id, value;
-  g_hash_table_iter_init (&it, world.leases);
-  while (!world.outage && g_hash_table_iter_next (&it, &id, &value)) {
-    if (((Lease *) value)->until > world.now)
+  g_hash_table_iter_init (&it, fakes.leases);
+  while (!fakes.outage && g_hash_table_iter_next (&it, &id, &value)) {
+    if (((Lease *) value)->until > fakes.now)
       continue;
     remove_keys_of (*(guint64 *) id);
     g_hash_table_iter_remove (&it);
   }
   wake_follows ();
-  world_later (0.05, expire_leases, NULL);
+  schedule_after (0.05, expire_leases, NULL);
   return FALSE;
 }
 
@@ -272,19 +273,19 @@
 {
   GHashTableIter it;
   gpointer value;
-  world.outage = on;
-  g_hash_table_iter_init (&it, world.leases);
+  fakes.outage = on;
+  g_hash_table_iter_init (&it, fakes.leases);
   while (!on && g_hash_table_iter_next (&it, NULL, &value))
-    ((Lease *) value)->until = world.now + (gint64) ((Lease *) value)->life_ms * 1000;
+    ((Lease *) value)->until = fakes.now + (gint64) ((Lease *) value)->life_ms * 1000;
 }
 
 guint
-sim_recorded (void)
+sim_recorded_machines (void)
 {
   GHashTableIter it;
   gpointer key, value;
   guint n = 0;
-  g_hash_table_iter_init (&it, world.store);
+  g_hash_table_iter_init (&it, fakes.store);
   while (g_hash_table_iter_next (&it, &key, &value))
     if (g_str_has_prefix (key, RECORDS))
       n += (guint) json_object_size (((Entry *) value)->value);
@@ -295,7 +296,7 @@
 sim_state_put (const char *key, const char *value)
 {
   json_t *v = json_loads (value, JSON_DECODE_ANY, NULL);
-  world.revision++;
+  fakes.revision++;
   change (key, v, 0);
   json_decref (v);
   wake_follows ();
@@ -304,70 +305,70 @@
 void
 sim_state_remove (const char *key)
 {
-  world.revision++;
+  fakes.revision++;
   change (key, NULL, 0);
   wake_follows ();
 }
 
 json_t *
-world_stored (const char *key)
+fakes_stored_value (const char *key)
 {
-  const Entry *entry = g_hash_table_lookup (world.store, key);
+  const Entry *entry = g_hash_table_lookup (fakes.store, key);
   return entry ? entry->value : NULL;
 }
 
 gboolean
 sim_state_has (const char *key)
 {
-  return g_hash_table_contains (world.store, key);
+  return g_hash_table_contains (fakes.store, key);
 }
 
 int
-sim_owner (guint part)
+sim_shard_owner (guint shard)
 {
-  g_autofree char *key = g_strdup_printf ("c/owner/%u", part);
-  const char *name = json_string_value (json_object_get (world_stored (key), "Node"));
+  g_autofree char *key = g_strdup_printf ("c/owner/%u", shard);
+  const char *name = json_string_value (json_object_get (fakes_stored_value (key), "Node"));
   return name ? atoi (name + strlen ("berth-")) : -1;
 }
 
 guint64
-sim_state_mark (const char *key)
+sim_state_revision (const char *key)
 {
-  const Entry *e = g_hash_table_lookup (world.store, key);
+  const Entry *e = g_hash_table_lookup (fakes.store, key);
   return e ? e->mark : 0;
 }
 
 void
-sim_watches_slow (double seconds)
+sim_watch_delay (double seconds)
 {
-  world.slow_watches = seconds;
+  fakes.watch_delay_s = seconds;
 }
 
 void
-sim_state_slow (double seconds)
+sim_state_delay (double seconds)
 {
-  world.slow = seconds;
+  fakes.state_delay_s = seconds;
 }
 
 void
-sim_late_writes (double share)
+sim_delay_commits (double share)
 {
-  world.late_writes = share;
+  fakes.delayed_commit_share = share;
 }
 
 void
 sim_hold_commits (const char *prefix, guint n, double seconds)
 {
-  g_free (world.hold_prefix);
-  world.hold_prefix = g_strdup (prefix);
-  world.hold_commits = n;
-  world.hold_commits_s = seconds;
+  g_free (fakes.hold_prefix);
+  fakes.hold_prefix = g_strdup (prefix);
+  fakes.hold_commits = n;
+  fakes.hold_commits_s = seconds;
 }
 
 guint
-sim_commits_to_hold (void)
+sim_commits_left_to_hold (void)
 {
-  return world.hold_commits;
+  return fakes.hold_commits;
 }
 
 /* Whether sim_hold_commits means it. */
@@ -376,13 +377,13 @@
 {
   json_t *o;
   size_t i;
-  if (!world.hold_commits)
+  if (!fakes.hold_commits)
     return FALSE;
   json_array_foreach (json_object_get (c->body, "Writes"), i, o)
   {
     const char *put = json_string_value (json_object_get (o, "Put"));
-    if (put && g_str_has_prefix (put, world.hold_prefix)) {
-      world.hold_commits--;
+    if (put && g_str_has_prefix (put, fakes.hold_prefix)) {
+      fakes.hold_commits--;
       return TRUE;
     }
   }
@@ -390,21 +391,21 @@
 }
 
 void
-sim_state_refuse (guint node, gboolean on)
+sim_state_refuse_node (guint node, gboolean on)
 {
-  world.refuse[node] = on;
+  fakes.refuse_node[node] = on;
 }
 
 void
-sim_state_refuse_reads (guint node, gboolean on)
+sim_state_refuse_range_reads (guint node, gboolean on)
 {
-  world.refuse_reads[node] = on;
+  fakes.refuse_range_reads[node] = on;
 }
 
 void
-sim_lose_commit_answers (guint n)
+sim_drop_commit_responses (guint n)
 {
-  world.lose_commits = n;
+  fakes.drop_commit_responses = n;
 }
 
 /* The limits that the settings and the protocol tell. */
@@ -416,13 +417,14 @@
   g_assert_cmpuint (json_array_size (writes), <=, 12);
   g_assert_cmpuint (json_array_size (json_object_get (c->body, "When")), <=, 48);
   if (json_dumpb (c->body, NULL, 0, JSON_COMPACT) > TXN_BYTES)
-    world_broken ("a transaction of more than %d bytes", TXN_BYTES);
+    record_violation ("a transaction of more than %d bytes", TXN_BYTES);
   json_array_foreach (writes, i, o)
   {
     json_t *v = json_object_get (o, "Value");
-    if (v && json_dumpb (v, NULL, 0, JSON_COMPACT | JSON_ENCODE_ANY) > world.o.value_kb * 1024)
-      world_broken ("a value of more than %g KiB: %s", world.o.value_kb,
-                    json_string_value (json_object_get (o, "Put")));
+    if (v &&
+        json_dumpb (v, NULL, 0, JSON_COMPACT | JSON_ENCODE_ANY) > fakes.options.value_kb * 1024)
+      record_violation ("a value of more than %g KiB: %s", fakes.options.value_kb,
+                        json_string_value (json_object_get (o, "Put")));
   }
 }
 
@@ -440,7 +442,7 @@
   json_array_foreach (writes, i, o)
   {
     guint64 lease = lease_of (o);
-    if (lease && !g_hash_table_contains (world.leases, &lease))
+    if (lease && !g_hash_table_contains (fakes.leases, &lease))
       return FALSE;
   }
   return TRUE;
@@ -455,7 +457,7 @@
   json_array_foreach (json_object_get (c->body, "When"), i, o)
   {
     const char *key = json_string_value (json_object_get (o, "Key"));
-    Entry *e = g_hash_table_lookup (world.store, key);
+    Entry *e = g_hash_table_lookup (fakes.store, key);
     if ((guint64) json_integer_value (json_object_get (o, "Mark")) != (e ? e->mark : 0))
       json_array_append_new (failed, json_string (key));
   }
@@ -471,14 +473,14 @@
   gpointer key, value;
   const char *id;
   json_t *address;
-  g_hash_table_iter_init (&it, world.store);
+  g_hash_table_iter_init (&it, fakes.store);
   while (g_hash_table_iter_next (&it, &key, &value)) {
     if (!g_str_has_prefix (key, RECORDS))
       continue;
     json_object_foreach (((Entry *) value)->value, id, address)
     {
       if (!g_hash_table_add (seen, (gpointer) id))
-        world_broken ("in two records: %s", id);
+        record_violation ("in two records: %s", id);
     }
   }
 }
@@ -489,7 +491,7 @@
   json_t *o;
   size_t i;
   gboolean records = FALSE;
-  world.revision++;
+  fakes.revision++;
   json_array_foreach (writes, i, o)
   {
     const char *put = json_string_value (json_object_get (o, "Put"));
@@ -507,12 +509,13 @@
 static gboolean
 within_write_limit (json_t *writes)
 {
-  world.write_tokens = MIN (world.o.write_rps, world.write_tokens + (world.now - world.write_at) /
-                                                                        1e6 * world.o.write_rps);
-  world.write_at = world.now;
-  if (world.write_tokens < 0)
+  fakes.write_tokens =
+      MIN (fakes.options.write_rps, fakes.write_tokens + (fakes.now - fakes.write_tokens_at) / 1e6 *
+                                                             fakes.options.write_rps);
+  fakes.write_tokens_at = fakes.now;
+  if (fakes.write_tokens < 0)
     return FALSE;
-  world.write_tokens -= (double) json_array_size (writes);
+  fakes.write_tokens -= (double) json_array_size (writes);
   return TRUE;
 }
 
@@ -522,33 +525,33 @@
   json_t *writes = json_object_get (c->body, "Writes");
   check_size (c, writes);
   if (!within_write_limit (writes)) {
-    world_answer_call (c, 429, NULL);
+    fakes_respond (c, 429, NULL);
     return;
   }
   if (!leases_stand (writes)) {
-    world_answer_call (c, 400, json_pack ("{ss}", "error", "no such lease"));
+    fakes_respond (c, 400, json_pack ("{ss}", "error", "no such lease"));
     return;
   }
   json_t *failed = conflicts (c);
   if (json_array_size (failed)) {
-    world_answer_call (
-        c, 409, json_pack ("{so sI}", "failed", failed, "Ledger", (json_int_t) world.revision));
+    fakes_respond (c, 409,
+                   json_pack ("{so sI}", "failed", failed, "Ledger", (json_int_t) fakes.revision));
     return;
   }
   json_decref (failed);
   carry_out_writes (writes);
-  if (world.lose_commits)
-    world.lose_commits--;
+  if (fakes.drop_commit_responses)
+    fakes.drop_commit_responses--;
   else
-    world_answer_call (c, 200, json_pack ("{sI}", "Ledger", (json_int_t) world.revision));
-  world_later (0, wake_later, NULL);
+    fakes_respond (c, 200, json_pack ("{sI}", "Ledger", (json_int_t) fakes.revision));
+  schedule_after (0, wake_later, NULL);
 }
 
 static gboolean
 commit_late (gpointer data)
 {
   Call *c = data;
-  if (!world.outage)
+  if (!fakes.outage)
     commit (c);
   return FALSE;
 }
@@ -558,8 +561,8 @@
 {
   g_autofree char *want = g_strconcat (name, "=", NULL);
   const char *q = strchr (path, '?');
-  g_auto (GStrv) parts = g_strsplit (q ? q + 1 : "", "&", -1);
-  for (char **p = parts; *p; p++)
+  g_auto (GStrv) shards = g_strsplit (q ? q + 1 : "", "&", -1);
+  for (char **p = shards; *p; p++)
     if (g_str_has_prefix (*p, want))
       return g_strdup (*p + strlen (want));
   return NULL;
@@ -575,97 +578,98 @@
 scan (Call *c)
 {
   g_autofree char *prefix = query (c->path, "Prefix"), *after = query (c->path, "From");
-  g_autoptr (GList) keys = g_list_sort (g_hash_table_get_keys (world.store), by_text);
+  g_autoptr (GList) keys = g_list_sort (g_hash_table_get_keys (fakes.store), by_text);
   json_t *items = json_array ();
   for (GList *l = keys; l; l = l->next) {
-    Entry *e = g_hash_table_lookup (world.store, l->data);
+    Entry *e = g_hash_table_lookup (fakes.store, l->data);
     if (g_str_has_prefix (l->data, prefix) && (!after || strcmp (l->data, after) > 0))
       json_array_append_new (items, json_pack ("{ss sO sI}", "Key", l->data, "Value", e->value,
                                                "Mark", (json_int_t) e->mark));
   }
-  world_answer_call (
+  fakes_respond (
       c, 200,
-      json_pack ("{so sb sI}", "Items", items, "More", 0, "Ledger", (json_int_t) world.revision));
+      json_pack ("{so sb sI}", "Items", items, "More", 0, "Ledger", (json_int_t) fakes.revision));
 }
 
 guint
-sim_leases_ended (void)
+sim_leases_revoked (void)
 {
-  return world.leases_ended;
+  return fakes.leases_revoked;
 }
 
 guint
-sim_state_requests (void)
+sim_state_request_count (void)
 {
-  return world.state_requests;
+  return fakes.state_requests;
 }
 
 static gboolean
 reads_refused (const Call *c)
 {
-  return g_str_has_prefix (c->from, "n") && world.refuse_reads[atoi (c->from + 1)] &&
+  return g_str_has_prefix (c->from, "n") && fakes.refuse_range_reads[atoi (c->from + 1)] &&
          g_str_has_prefix (c->path, "/store?");
 }
 
 static void
 state_answer (Call *c)
 {
-  world.state_requests++;
+  fakes.state_requests++;
   if ((refused (c->from) && !g_str_has_prefix (c->path, "/follow")) || reads_refused (c))
-    world_answer_call (c, 503, NULL);
+    fakes_respond (c, 503, NULL);
   else if (g_str_has_prefix (c->path, "/store?"))
     scan (c);
   else if (g_str_has_prefix (c->path, "/store/")) {
-    Entry *e = g_hash_table_lookup (world.store, c->path + strlen ("/store/"));
+    Entry *e = g_hash_table_lookup (fakes.store, c->path + strlen ("/store/"));
     if (e)
-      world_answer_call (c, 200,
-                         json_pack ("{ss sO sI}", "Key", c->path + strlen ("/store/"), "Value",
-                                    e->value, "Mark", (json_int_t) e->mark));
+      fakes_respond (c, 200,
+                     json_pack ("{ss sO sI}", "Key", c->path + strlen ("/store/"), "Value",
+                                e->value, "Mark", (json_int_t) e->mark));
     else
-      world_answer_call (c, 404, json_pack ("{sI}", "Ledger", (json_int_t) world.revision));
+      fakes_respond (c, 404, json_pack ("{sI}", "Ledger", (json_int_t) fakes.revision));
   } else if (g_str_equal (c->path, "/commit") && held_commit (c))
-    world_later (world.hold_commits_s, commit_late, c);
-  else if (g_str_equal (c->path, "/commit") && g_rand_double (world.rng) < world.late_writes)
-    world_later (g_rand_double_range (world.rng, 2, 12), commit_late, c);
+    schedule_after (fakes.hold_commits_s, commit_late, c);
+  else if (g_str_equal (c->path, "/commit") &&
+           g_rand_double (fakes.rng) < fakes.delayed_commit_share)
+    schedule_after (g_rand_double_range (fakes.rng, 2, 12), commit_late, c);
   else if (g_str_equal (c->path, "/commit"))
     commit (c);
   else if (g_str_has_prefix (c->path, "/follow")) {
     Follow *f = g_new (Follow, 1);
     g_autofree char *from = query (c->path, "From"), *hold = query (c->path, "HoldMs");
     *f = (Follow){ c, query (c->path, "Prefix"), g_ascii_strtoull (from, NULL, 10),
-                   world.now + (gint64) atoi (hold) * 1000 };
-    g_ptr_array_add (world.follows, f);
+                   fakes.now + (gint64) atoi (hold) * 1000 };
+    g_ptr_array_add (fakes.watches, f);
     wake_follows ();
   } else if (g_str_has_prefix (c->path, "/leases")) {
     guint64 id = g_ascii_strtoull (c->path + strlen ("/leases") + (c->path[7] == '/'), NULL, 10);
     guint ms = (guint) json_integer_value (json_object_get (c->body, "LifeMs"));
-    if (id && !g_hash_table_contains (world.leases, &id)) {
-      world_answer_call (c, 404, NULL);
+    if (id && !g_hash_table_contains (fakes.leases, &id)) {
+      fakes_respond (c, 404, NULL);
       return;
     }
     if (g_str_equal (c->method, "DELETE")) {
-      world.leases_ended++;
-      g_hash_table_remove (world.leases, &id);
+      fakes.leases_revoked++;
+      g_hash_table_remove (fakes.leases, &id);
       remove_keys_of (id);
       wake_follows ();
-      world_answer_call (c, 200, NULL);
+      fakes_respond (c, 200, NULL);
       return;
     }
     if (!id)
-      id = ++world.next_lease;
+      id = ++fakes.next_lease;
     Lease *l = g_new (Lease, 1);
-    *l = (Lease){ world.now + (gint64) ms * 1000, ms };
-    g_hash_table_replace (world.leases, g_memdup2 (&id, sizeof id), l);
-    world_answer_call (c, 200, json_pack ("{sI}", "Permit", (json_int_t) id));
+    *l = (Lease){ fakes.now + (gint64) ms * 1000, ms };
+    g_hash_table_replace (fakes.leases, g_memdup2 (&id, sizeof id), l);
+    fakes_respond (c, 200, json_pack ("{sI}", "Permit", (json_int_t) id));
   } else
-    world_answer_call (c, 400, NULL);
+    fakes_respond (c, 400, NULL);
 }
 
 /* --- machines --------------------------------------------------------------------------------- */
 typedef struct {
   char *job;
   guint index;
-  guint64 attempt;
+  guint64 attempt_id;
   const char *state, *why; /* pulling, running, exited */
   gint64 starts, ends;
   gboolean fails;
@@ -692,7 +696,7 @@
 /* A user's job and what the checker knows of it. */
 typedef struct {
   char *id, *team;
-  SimPlacing placing;
+  SimPlacement placing;
   guint tasks;
   double cpus, run_s;
   json_t *body;
@@ -716,8 +720,8 @@
 task_off (Task *t)
 {
   g_autofree char *key = g_strdup_printf ("%s/%u", t->job, t->index);
-  if (g_hash_table_lookup (world.running, key) == t)
-    g_hash_table_remove (world.running, key);
+  if (g_hash_table_lookup (fakes.running_tasks, key) == t)
+    g_hash_table_remove (fakes.running_tasks, key);
 }
 
 static void
@@ -729,11 +733,11 @@
 }
 
 static Task *
-task_find (Machine *m, const char *job, guint index, guint64 attempt)
+task_find (Machine *m, const char *job, guint index, guint64 attempt_id)
 {
   for (guint i = 0; i < m->tasks->len; i++) {
     Task *t = m->tasks->pdata[i];
-    if (t->index == index && t->attempt == attempt && g_str_equal (t->job, job))
+    if (t->index == index && t->attempt_id == attempt_id && g_str_equal (t->job, job))
       return t;
   }
   return NULL;
@@ -748,7 +752,7 @@
   guint here = 0, all = 0;
   if (!u || u->placing == SIM_ANYWHERE)
     return;
-  g_hash_table_iter_init (&it, world.running);
+  g_hash_table_iter_init (&it, fakes.running_tasks);
   while (g_hash_table_iter_next (&it, NULL, &value)) {
     const Task *t = value;
     if (!g_str_equal (t->job, u->id))
@@ -757,42 +761,42 @@
     here += g_str_equal (((Machine *) t->on)->zone, m->zone);
   }
   if (u->placing == SIM_ONE_ZONE ? here != all : here > (u->tasks + 1) / 2)
-    world_broken ("wrong_place: %s has %u of %u in %s", u->id, here, all, m->zone);
+    record_violation ("wrong_place: %s has %u of %u in %s", u->id, here, all, m->zone);
 }
 
 /* What the rules forbid at a start: a second copy, a limit passed, a cancelled job. */
 static void
 check_start (Machine *m, Task *t)
 {
-  User *u = g_hash_table_lookup (world.jobs, t->job);
+  User *u = g_hash_table_lookup (fakes.jobs, t->job);
   GHashTableIter it;
   gpointer value;
   double used = 0;
 
   char *key = g_strdup_printf ("%s/%u", t->job, t->index);
-  const Task *twin = g_hash_table_lookup (world.running, key);
+  const Task *twin = g_hash_table_lookup (fakes.running_tasks, key);
 
-  world.started++;
+  fakes.tasks_started++;
   if (u && !u->began_at)
-    u->began_at = world.now;
+    u->began_at = fakes.now;
   if (twin)
-    world_broken ("ran_twice: %s on %s and %s", key, ((Machine *) twin->on)->id, m->id);
+    record_violation ("ran_twice: %s on %s and %s", key, ((Machine *) twin->on)->id, m->id);
   t->on = m;
   if (!m->began)
-    m->began = world.now;
-  g_hash_table_replace (world.running, key, t);
-  g_hash_table_iter_init (&it, world.running);
-  while (world.o.team_limit > 0 && g_hash_table_iter_next (&it, NULL, &value)) {
-    User *v = g_hash_table_lookup (world.jobs, ((Task *) value)->job);
+    m->began = fakes.now;
+  g_hash_table_replace (fakes.running_tasks, key, t);
+  g_hash_table_iter_init (&it, fakes.running_tasks);
+  while (fakes.options.team_limit > 0 && g_hash_table_iter_next (&it, NULL, &value)) {
+    User *v = g_hash_table_lookup (fakes.jobs, ((Task *) value)->job);
     if (v && u && g_str_equal (v->team, u->team))
       used += v->cpus;
   }
-  if (u && world.o.team_limit > 0 && used > world.o.team_limit + 1e-6)
-    world_broken ("quota: %s uses %g", u->team, used);
+  if (u && fakes.options.team_limit > 0 && used > fakes.options.team_limit + 1e-6)
+    record_violation ("quota: %s uses %g", u->team, used);
   check_place (m, u);
   /* Stricter than the rule: none may start once its user was told. */
   if (u && u->cancelled_at)
-    world_broken ("started_cancelled: %s/%u starts on %s", t->job, t->index, m->id);
+    record_violation ("started_cancelled: %s/%u starts on %s", t->job, t->index, m->id);
 }
 
 static json_t *
@@ -802,7 +806,7 @@
   for (guint i = 0; i < m->tasks->len; i++) {
     Task *t = m->tasks->pdata[i];
     json_t *o = json_pack ("{so sI ss}", "Shift", json_sprintf ("%s/%u", t->job, t->index),
-                           "Launch", (json_int_t) t->attempt, "Bearing", t->state);
+                           "Launch", (json_int_t) t->attempt_id, "Bearing", t->state);
     if (t->why)
       json_object_set_new (o, "Wreck", json_string (t->why));
     json_array_append_new (a, o);
@@ -816,20 +820,20 @@
 static void
 beat_soon (Machine *m)
 {
-  m->next_beat = MIN (m->next_beat, MAX (world.now, m->last_beat + 500000));
+  m->next_beat = MIN (m->next_beat, MAX (fakes.now, m->last_beat + 500000));
 }
 
 static void
 start_if_due (Machine *m, Task *t)
 {
-  const User *u = g_hash_table_lookup (world.jobs, t->job);
-  if (!g_str_equal (t->state, "pulling") || world.now < t->starts)
+  const User *u = g_hash_table_lookup (fakes.jobs, t->job);
+  if (!g_str_equal (t->state, "pulling") || fakes.now < t->starts)
     return;
   t->state = "running";
-  double run_s =
-      u->run_s * g_rand_double_range (world.rng, 1 - world.o.vary, 1 + world.o.vary + 1e-9);
+  double run_s = u->run_s * g_rand_double_range (fakes.rng, 1 - fakes.options.run_time_jitter,
+                                                 1 + fakes.options.run_time_jitter + 1e-9);
   t->fails = m->sick || u->mistaken;
-  t->ends = world.now + (gint64) ((t->fails ? 0.2 : run_s * (m->slow > 0 ? m->slow : 1)) * 1e6);
+  t->ends = fakes.now + (gint64) ((t->fails ? 0.2 : run_s * (m->slow > 0 ? m->slow : 1)) * 1e6);
   check_start (m, t);
   beat_soon (m);
 }
@@ -846,28 +850,28 @@
     const char *slash = strrchr (shift, '/');
     g_autofree char *job = g_strndup (shift, slash - shift);
     guint index = (guint) atoi (slash + 1);
-    guint64 attempt = (guint64) json_integer_value (json_object_get (o, "Launch"));
-    Task *t = task_find (m, job, index, attempt);
-    User *u = g_hash_table_lookup (world.jobs, job);
+    guint64 attempt_id = (guint64) json_integer_value (json_object_get (o, "Launch"));
+    Task *t = task_find (m, job, index, attempt_id);
+    User *u = g_hash_table_lookup (fakes.jobs, job);
     if (g_str_equal (word, "run") && !t) {
       double used = 0;
       gboolean here = FALSE;
       for (guint k = 0; k < m->tasks->len; k++) {
         Task *x = m->tasks->pdata[k];
-        User *v = g_hash_table_lookup (world.jobs, x->job);
+        User *v = g_hash_table_lookup (fakes.jobs, x->job);
         if (g_str_equal (x->state, "exited"))
           continue;
         used += v ? v->cpus : 0;
         here |= x->index == index && g_str_equal (x->job, job);
       }
       t = g_new0 (Task, 1);
-      *t = (Task){ g_strdup (job), index, attempt, "pulling", NULL, 0, 0, FALSE, NULL };
+      *t = (Task){ g_strdup (job), index, attempt_id, "pulling", NULL, 0, 0, FALSE, NULL };
       g_ptr_array_add (m->tasks, t);
-      if (!u || here || used + u->cpus > world.o.machine_cpus + 1e-6) {
+      if (!u || here || used + u->cpus > fakes.options.machine_cpus + 1e-6) {
         t->state = "exited";
         t->why = !u ? "unknown" : here ? "in_use" : "no_room";
       } else {
-        t->starts = world.now + (gint64) (world.o.fetch_s * 1e6);
+        t->starts = fakes.now + (gint64) (fakes.options.image_pull_s * 1e6);
         start_if_due (m, t);
       }
     } else if (g_str_equal (word, "kill") && t && !g_str_equal (t->state, "exited")) {
@@ -916,28 +920,28 @@
     }
   } else if (status != 200) {
     const char *to = json_string_value (json_object_get (body, "Harbormaster"));
-    m->next_beat = world.now + 1000000;
+    m->next_beat = fakes.now + 1000000;
     if (status == 421 && to && atoi (to + strlen ("berth-")) != (int) m->node) {
       m->node = (guint) atoi (to + strlen ("berth-"));
-      m->next_beat = world.now + 100000;
+      m->next_beat = fakes.now + 100000;
     } else
-      m->node = (m->node + 1) % world.o.nodes;
+      m->node = (m->node + 1) % fakes.options.nodes;
   }
   g_free (b);
 }
 
-/* For sim_old_reports. */
+/* For sim_replay_old_reports. */
 #define KEEP_US 10000000
 
 static void
 keep_report (Machine *m, json_t *report)
 {
-  if (m->kept && world.now - m->kept_at < KEEP_US)
+  if (m->kept && fakes.now - m->kept_at < KEEP_US)
     return;
   json_decref (m->kept_before);
   m->kept_before = m->kept;
   m->kept = json_deep_copy (report);
-  m->kept_at = world.now;
+  m->kept_at = fakes.now;
 }
 
 static void
@@ -945,36 +949,36 @@
 {
   if (!m->kept_before)
     return;
-  for (guint i = 0; i < world.o.nodes; i++) {
-    g_autofree char *address = world_node_address (i, WORLD_USER_PORT);
-    world_call (m->id, "POST", address, "/agent/beat", json_deep_copy (m->kept_before), 4,
+  for (guint i = 0; i < fakes.options.nodes; i++) {
+    g_autofree char *address = sim_node_address (i, SIM_CLIENT_PORT);
+    fakes_call (m->id, "POST", address, "/agent/beat", json_deep_copy (m->kept_before), 4,
                 copy_answered, NULL);
   }
 }
 
 void
-sim_old_reports (void)
+sim_replay_old_reports (void)
 {
-  g_autoptr (GList) ids = g_list_sort (g_hash_table_get_keys (world.machines), by_text);
+  g_autoptr (GList) ids = g_list_sort (g_hash_table_get_keys (fakes.machines), by_text);
   for (GList *l = ids; l; l = l->next)
-    send_old_report (g_hash_table_lookup (world.machines, l->data));
+    send_old_report (g_hash_table_lookup (fakes.machines, l->data));
 }
 
 static void
 send_report (Machine *m)
 {
-  g_autofree char *address = world_node_address (m->node, WORLD_USER_PORT);
+  g_autofree char *address = sim_node_address (m->node, SIM_CLIENT_PORT);
   Beat *b = g_new (Beat, 1);
   *b = (Beat){ m, m->session };
   m->busy = TRUE;
-  m->sent = m->last_beat = world.now;
-  m->next_beat =
-      world.now + (gint64) (world.o.report_s * g_rand_double_range (world.rng, 0.75, 1.25) * 1e6);
+  m->sent = m->last_beat = fakes.now;
+  m->next_beat = fakes.now + (gint64) (fakes.options.report_s *
+                                       g_rand_double_range (fakes.rng, 0.75, 1.25) * 1e6);
   json_t *r = report (m);
   keep_report (m, r);
-  if (g_rand_double (world.rng) < world.o.copies)
-    world_copy (m->id, "POST", address, "/agent/beat", r);
-  world_call_late (m->id, "POST", address, "/agent/beat", r, 4, m->report_late_s, beat_done, b);
+  if (g_rand_double (fakes.rng) < fakes.options.duplicate_reports)
+    fakes_send_duplicate_later (m->id, "POST", address, "/agent/beat", r);
+  fakes_call_delayed (m->id, "POST", address, "/agent/beat", r, 4, m->report_late_s, beat_done, b);
   m->report_late_s = 0;
 }
 
@@ -984,18 +988,19 @@
   Machine *m = data;
   if (m->dead)
     return FALSE;
-  world_later (world.o.step_s > 0 ? world.o.step_s : 0.05, machine_step, m);
-  if (world.now < m->up_at)
+  schedule_after (fakes.options.machine_poll_s > 0 ? fakes.options.machine_poll_s : 0.05,
+                  machine_step, m);
+  if (fakes.now < m->up_at)
     return FALSE;
   if (!m->up) {
     m->up = TRUE;
     m->session = 1;
-    m->last_ok = m->next_beat = world.now;
+    m->last_ok = m->next_beat = fakes.now;
   }
-  if (world.now - m->last_ok > (gint64) (world.o.lease_s * 1e6)) {
+  if (fakes.now - m->last_ok > (gint64) (fakes.options.lease_s * 1e6)) {
     g_ptr_array_set_size (m->tasks, 0);
     m->session++;
-    m->last_ok = world.now;
+    m->last_ok = fakes.now;
     beat_soon (m);
   }
   /* Its lease runs on: it may go on only within it. */
@@ -1003,15 +1008,16 @@
     return FALSE;
   for (guint i = 0; i < m->tasks->len; i++) {
     Task *t = m->tasks->pdata[i];
-    User *u = g_hash_table_lookup (world.jobs, t->job);
+    User *u = g_hash_table_lookup (fakes.jobs, t->job);
     start_if_due (m, t);
     if (!g_str_equal (t->state, "running"))
       continue;
-    if (u && u->cancelled_at && world.now - u->cancelled_at > (gint64) (world.o.cancel_s * 1e6)) {
-      world_broken ("ran_cancelled: %s/%u still on %s", t->job, t->index, m->id);
+    if (u && u->cancelled_at &&
+        fakes.now - u->cancelled_at > (gint64) (fakes.options.cancel_s * 1e6)) {
+      record_violation ("ran_cancelled: %s/%u still on %s", t->job, t->index, m->id);
       u->cancelled_at = G_MAXINT64 / 2; /* once */
     }
-    if (world.now < t->ends)
+    if (fakes.now < t->ends)
       continue;
     t->state = "exited";
     t->why = t->fails ? "error" : "done";
@@ -1019,15 +1025,15 @@
     if (!t->fails && u && !u->completed[t->index]) {
       u->completed[t->index] = 1;
       u->n_completed++;
-      u->complete_at = world.now;
+      u->complete_at = fakes.now;
     }
     beat_soon (m);
   }
-  if (m->busy || world.now < m->next_beat)
+  if (m->busy || fakes.now < m->next_beat)
     return FALSE;
   if (m->mute) {
-    m->node = (m->node + 1) % world.o.nodes;
-    m->next_beat = world.now + 1000000;
+    m->node = (m->node + 1) % fakes.options.nodes;
+    m->next_beat = fakes.now + 1000000;
   } else
     send_report (m);
   return FALSE;
@@ -1059,7 +1065,7 @@
 command_late (gpointer call)
 {
   Call *c = call;
-  Machine *m = g_hash_table_lookup (world.machines, c->to);
+  Machine *m = g_hash_table_lookup (fakes.machines, c->to);
   if (m && !m->dead)
     carry_out (m, c);
   return FALSE;
@@ -1068,29 +1074,29 @@
 static void
 machine_answer (Call *c)
 {
-  Machine *m = g_hash_table_lookup (world.machines, c->to);
+  Machine *m = g_hash_table_lookup (fakes.machines, c->to);
   if (!m || m->dead || !m->up)
     return;
   if (m->hangs) { /* the asker has given up by then, the machine goes by token and session */
-    world_later (0.05, machine_asked, c);
+    schedule_after (0.05, machine_asked, c);
     return;
   }
   if (g_str_equal (c->path, "/show")) {
-    world_answer_call (c, 200, report (m));
+    fakes_respond (c, 200, report (m));
     return;
   }
-  if (g_rand_double (world.rng) < world.late_commands) {
-    world_later (g_rand_double_range (world.rng, 2, 16), command_late, c);
+  if (g_rand_double (fakes.rng) < fakes.delayed_command_share) {
+    schedule_after (g_rand_double_range (fakes.rng, 2, 16), command_late, c);
     return;
   }
   guint status = carry_out (m, c);
-  world_answer_call (c, status, report (m));
+  fakes_respond (c, status, report (m));
 }
 
 void
-sim_late_commands (double share)
+sim_delay_commands (double share)
 {
-  world.late_commands = share;
+  fakes.delayed_command_share = share;
 }
 
 static void
@@ -1098,90 +1104,90 @@
 {
   Machine *m = g_new0 (Machine, 1);
   m->zone = g_strdup (zone);
-  m->id = g_strdup_printf ("host-%06u", world.next_machine);
-  m->address = world_machine_address (world.next_machine++);
-  m->rented = world.now;
-  double least = world.o.boot_max_s > 0 ? world.o.boot_min_s : 6;
-  double most = world.o.boot_max_s > 0 ? world.o.boot_max_s : 15;
+  m->id = g_strdup_printf ("host-%06u", fakes.next_machine);
+  m->address = sim_machine_address (fakes.next_machine++);
+  m->rented = fakes.now;
+  double least = fakes.options.boot_max_s > 0 ? fakes.options.boot_min_s : 6;
+  double most = fakes.options.boot_max_s > 0 ? fakes.options.boot_max_s : 15;
   m->up_at =
-      world.now + g_rand_int_range (world.rng, (gint32) (least * 1e6), (gint32) (most * 1e6));
-  if (world.boots_fail)
+      fakes.now + g_rand_int_range (fakes.rng, (gint32) (least * 1e6), (gint32) (most * 1e6));
+  if (fakes.fail_boots)
     m->up_at = G_MAXINT64;
   m->tasks = g_ptr_array_new_with_free_func (task_free);
-  m->node = (guint) g_rand_int_range (world.rng, 0, (gint32) world.o.nodes);
-  g_hash_table_insert (world.machines, m->id, m);
-  world.alive++;
+  m->node = (guint) g_rand_int_range (fakes.rng, 0, (gint32) fakes.options.nodes);
+  g_hash_table_insert (fakes.machines, m->id, m);
+  fakes.machines_alive++;
   machine_step (m);
 }
 
 void
 sim_machine_kill (const char *id)
 {
-  Machine *m = g_hash_table_lookup (world.machines, id);
-  world.alive -= !m->dead;
+  Machine *m = g_hash_table_lookup (fakes.machines, id);
+  fakes.machines_alive -= !m->dead;
   m->dead = TRUE;
   g_ptr_array_set_size (m->tasks, 0);
 }
 
 void
-sim_machine_sick (const char *id, gboolean sick)
+sim_machine_fail_tasks (const char *id, gboolean sick)
 {
-  ((Machine *) g_hash_table_lookup (world.machines, id))->sick = sick;
+  ((Machine *) g_hash_table_lookup (fakes.machines, id))->sick = sick;
 }
 
 void
-sim_machine_slow (const char *id, double factor)
+sim_machine_slow_down (const char *id, double factor)
 {
-  ((Machine *) g_hash_table_lookup (world.machines, id))->slow = factor;
+  ((Machine *) g_hash_table_lookup (fakes.machines, id))->slow = factor;
 }
 
 void
-sim_machine_hang (const char *id, gboolean on)
+sim_machine_pause (const char *id, gboolean on)
 {
-  ((Machine *) g_hash_table_lookup (world.machines, id))->hangs = on;
+  ((Machine *) g_hash_table_lookup (fakes.machines, id))->hangs = on;
 }
 
 void
-sim_machine_mute (const char *id, gboolean on)
+sim_machine_stop_reports (const char *id, gboolean on)
 {
-  ((Machine *) g_hash_table_lookup (world.machines, id))->mute = on;
+  ((Machine *) g_hash_table_lookup (fakes.machines, id))->mute = on;
 }
 
 void
-sim_delay_report (const char *id, double seconds)
+sim_delay_next_report (const char *id, double seconds)
 {
-  ((Machine *) g_hash_table_lookup (world.machines, id))->report_late_s = seconds;
+  ((Machine *) g_hash_table_lookup (fakes.machines, id))->report_late_s = seconds;
 }
 
 double
-sim_last_renewal (const char *id)
+sim_lease_renewed_at (const char *id)
 {
-  const Machine *m = g_hash_table_lookup (world.machines, id);
+  const Machine *m = g_hash_table_lookup (fakes.machines, id);
   return (double) m->last_ok / 1e6;
 }
 
 gboolean
-sim_report_under_way (const char *id)
+sim_report_in_flight (const char *id)
 {
-  return ((Machine *) g_hash_table_lookup (world.machines, id))->busy;
+  return ((Machine *) g_hash_table_lookup (fakes.machines, id))->busy;
 }
 
 void
 sim_cloud_outage (gboolean on)
 {
-  world.cloud_outage = on;
+  fakes.cloud_outage = on;
 }
 
 guint
-sim_deletions_refused (void)
+sim_refused_deletions (void)
 {
-  return world.deletions_refused;
+  return fakes.refused_deletions;
 }
 
 void
-sim_boots_fail (gboolean on)
+sim_fail_boots (gboolean on)
 {
-  world.boots_fail = on;
+  fakes.fail_boots = on;
 }
 
 double
@@ -1190,11 +1196,11 @@
   GHashTableIter it;
   gpointer value;
   gint64 most = 0;
-  g_hash_table_iter_init (&it, world.machines);
+  g_hash_table_iter_init (&it, fakes.machines);
   while (g_hash_table_iter_next (&it, NULL, &value)) {
     const Machine *m = value;
     if (!m->up && !m->dead)
-      most = MAX (most, world.now - m->rented);
+      most = MAX (most, fakes.now - m->rented);
   }
   return most / 1e6;
 }
@@ -1202,10 +1208,10 @@
 char **
 sim_machine_names (const char *zone)
 {
-  g_autoptr (GList) ids = g_list_sort (g_hash_table_get_keys (world.machines), by_text);
+  g_autoptr (GList) ids = g_list_sort (g_hash_table_get_keys (fakes.machines), by_text);
   GPtrArray *names = g_ptr_array_new ();
   for (GList *l = ids; l; l = l->next) {
-    const Machine *m = g_hash_table_lookup (world.machines, l->data);
+    const Machine *m = g_hash_table_lookup (fakes.machines, l->data);
     if (m->up && !m->dead && (!zone || g_str_equal (m->zone, zone)))
       g_ptr_array_add (names, g_strdup (m->id));
   }
@@ -1218,7 +1224,7 @@
 {
   GHashTableIter it;
   gpointer value;
-  g_hash_table_iter_init (&it, world.machines);
+  g_hash_table_iter_init (&it, fakes.machines);
   while (g_hash_table_iter_next (&it, NULL, &value)) {
     const Machine *m = value;
     for (guint i = 0; i < m->tasks->len; i++)
@@ -1229,16 +1235,16 @@
 }
 
 double
-sim_slowest_begin (void)
+sim_longest_wait_for_task (void)
 {
   GHashTableIter it;
   gpointer value;
   double most = 0;
-  g_hash_table_iter_init (&it, world.machines);
+  g_hash_table_iter_init (&it, fakes.machines);
   while (g_hash_table_iter_next (&it, NULL, &value)) {
     const Machine *m = value;
     if (m->up && !m->dead)
-      most = MAX (most, ((m->began ? m->began : world.now) - m->up_at) / 1e6);
+      most = MAX (most, ((m->began ? m->began : fakes.now) - m->up_at) / 1e6);
   }
   return most;
 }
@@ -1249,7 +1255,7 @@
   GHashTableIter it;
   gpointer value;
   Machine *best = NULL;
-  g_hash_table_iter_init (&it, world.machines);
+  g_hash_table_iter_init (&it, fakes.machines);
   while (g_hash_table_iter_next (&it, NULL, &value)) {
     Machine *m = value;
     if (m->dead || !m->up || !m->tasks->len)
@@ -1261,20 +1267,20 @@
 }
 
 void
-world_count_unheard (const char *machine)
+fakes_count_lost_run (const char *machine)
 {
-  Machine *m = g_hash_table_lookup (world.machines, machine);
+  Machine *m = g_hash_table_lookup (fakes.machines, machine);
   if (m)
     m->unheard++;
 }
 
 guint
-sim_unheard (const char *id)
+sim_runs_lost (const char *id)
 {
   GHashTableIter it;
   gpointer value;
   guint n = 0;
-  g_hash_table_iter_init (&it, world.machines);
+  g_hash_table_iter_init (&it, fakes.machines);
   while (g_hash_table_iter_next (&it, NULL, &value))
     n += !id || g_str_equal (((Machine *) value)->id, id) ? ((Machine *) value)->unheard : 0;
   return n;
@@ -1287,22 +1293,22 @@
 }
 
 const char *
-sim_idlest_machine (void)
+sim_least_busy_machine (void)
 {
   return by_tasks (FALSE);
 }
 
 gboolean
-sim_machine_lives (const char *id)
+sim_machine_alive (const char *id)
 {
-  const Machine *m = g_hash_table_lookup (world.machines, id);
+  const Machine *m = g_hash_table_lookup (fakes.machines, id);
   return m && !m->dead;
 }
 
 guint
-sim_machines (void)
+sim_machine_count (void)
 {
-  return world.alive;
+  return fakes.machines_alive;
 }
 
 guint
@@ -1311,7 +1317,7 @@
   GHashTableIter it;
   gpointer value;
   guint n = 0;
-  g_hash_table_iter_init (&it, world.machines);
+  g_hash_table_iter_init (&it, fakes.machines);
   while (g_hash_table_iter_next (&it, NULL, &value)) {
     Machine *m = value;
     for (guint i = 0; i < m->tasks->len; i++) {
@@ -1332,64 +1338,64 @@
 
   if (g_str_equal (c->path, "/machine_types")) {
     json_t *zones = json_array ();
-    for (guint z = 0; z < MAX (1, world.o.zones); z++)
+    for (guint z = 0; z < MAX (1, fakes.options.zones); z++)
       json_array_append_new (zones, json_sprintf ("z%u", z));
-    world_answer_call (c, 200,
-                       json_pack ("{s[{ss sf sf sf sf sf sf sf sf so}]}", "Hulls", "Name", "t8",
-                                  "Cores", (double) world.o.machine_cpus, "Accelerators", 0.0,
-                                  "MemGb", 64.0, "CacheGb", 50.0, "PullGbPerS", 1.0, "Rate", 1.0,
-                                  "MarketPrice", world.o.spot_price, "ReadyS", 10.0, "Harbors",
-                                  zones));
+    fakes_respond (c, 200,
+                   json_pack ("{s[{ss sf sf sf sf sf sf sf sf so}]}", "Hulls", "Name", "t8",
+                              "Cores", (double) fakes.options.machine_cpus, "Accelerators", 0.0,
+                              "MemGb", 64.0, "CacheGb", 50.0, "PullGbPerS", 1.0, "Rate", 1.0,
+                              "MarketPrice", fakes.options.spot_price, "ReadyS", 10.0, "Harbors",
+                              zones));
   } else if (g_str_equal (c->path, "/rentals/delete")) {
     json_array_foreach (json_object_get (c->body, "Berths"), i, o)
     {
-      Machine *m = g_hash_table_lookup (world.machines, json_string_value (o));
+      Machine *m = g_hash_table_lookup (fakes.machines, json_string_value (o));
       if (m && !m->dead)
         sim_machine_kill (m->id);
     }
-    world_answer_call (c, 200, json_object ());
+    fakes_respond (c, 200, json_object ());
   } else if (g_str_equal (c->path, "/rentals")) {
     const char *charter = json_string_value (json_object_get (c->body, "Charter"));
-    json_t *known = g_hash_table_lookup (world.charters, charter);
+    json_t *known = g_hash_table_lookup (fakes.rentals, charter);
     guint n = (guint) json_integer_value (json_object_get (c->body, "Number"));
     if (!known) {
       known = json_array ();
-      for (guint k = 0; k < n && sim_machines () < world.o.machines; k++) {
-        json_array_append_new (known, json_sprintf ("host-%06u", world.next_machine));
+      for (guint k = 0; k < n && sim_machine_count () < fakes.options.max_machines; k++) {
+        json_array_append_new (known, json_sprintf ("host-%06u", fakes.next_machine));
         machine_new (json_string_value (json_object_get (c->body, "Harbor")));
       }
       if (json_array_size (known) == 0) {
-        world_answer_call (c, 503, json_pack ("{ss}", "error", "no capacity"));
+        fakes_respond (c, 503, json_pack ("{ss}", "error", "no capacity"));
         return;
       }
-      g_hash_table_insert (world.charters, g_strdup (charter), known);
+      g_hash_table_insert (fakes.rentals, g_strdup (charter), known);
     }
-    world_answer_call (c, 200, json_pack ("{sO}", "Berths", known));
+    fakes_respond (c, 200, json_pack ("{sO}", "Berths", known));
   } else {
-    g_autoptr (GList) ids = g_list_sort (g_hash_table_get_keys (world.machines), by_text);
+    g_autoptr (GList) ids = g_list_sort (g_hash_table_get_keys (fakes.machines), by_text);
     for (GList *l = ids; l; l = l->next) {
-      Machine *m = g_hash_table_lookup (world.machines, l->data);
+      Machine *m = g_hash_table_lookup (fakes.machines, l->data);
       /* Two seconds old: new ones are missing, and dead ones still there only for that long. */
-      if (!m->dead && world.now - m->rented > 2000000)
+      if (!m->dead && fakes.now - m->rented > 2000000)
         json_array_append_new (
             a, json_pack ("{ss ss ss ss sb ss sf}", "Id", m->id, "Endpoint", m->address, "Hull",
                           "t8", "Harbor", m->zone, "Driftwood", 1, "Bearing",
-                          m->up ? "running" : "starting", "HeldS", (world.now - m->rented) / 1e6));
+                          m->up ? "running" : "starting", "HeldS", (fakes.now - m->rented) / 1e6));
     }
-    world_answer_call (c, 200, json_pack ("{sO sb}", "Berths", a, "More", 0));
+    fakes_respond (c, 200, json_pack ("{sO sb}", "Berths", a, "More", 0));
   }
   json_decref (a);
 }
 
 void
-world_answer (Call *c)
+fakes_handle_request (Call *c)
 {
   if (g_str_equal (c->to, "state"))
     state_answer (c);
-  else if (g_str_equal (c->to, "cloud") && world.cloud_outage) {
+  else if (g_str_equal (c->to, "cloud") && fakes.cloud_outage) {
     if (g_str_equal (c->path, "/rentals/delete"))
-      world.deletions_refused += (guint) json_array_size (json_object_get (c->body, "Berths"));
-    world_answer_call (c, 503, json_pack ("{ss}", "error", "trouble"));
+      fakes.refused_deletions += (guint) json_array_size (json_object_get (c->body, "Berths"));
+    fakes_respond (c, 503, json_pack ("{ss}", "error", "trouble"));
   } else if (g_str_equal (c->to, "cloud"))
     cloud_answer (c);
   else if (g_str_has_prefix (c->to, "host-"))
@@ -1404,20 +1410,21 @@
 static char *
 some_node (void)
 {
-  guint n = (guint) g_rand_int_range (world.rng, 0, (gint32) world.o.nodes);
-  for (guint i = 0; i < world.o.nodes && !world_node_alive (n); i++)
-    n = (n + 1) % world.o.nodes;
-  return world_node_address (n, WORLD_USER_PORT);
+  guint n = (guint) g_rand_int_range (fakes.rng, 0, (gint32) fakes.options.nodes);
+  for (guint i = 0; i < fakes.options.nodes && !sim_node_alive (n); i++)
+    n = (n + 1) % fakes.options.nodes;
+  return sim_node_address (n, SIM_CLIENT_PORT);
 }
 
 /* No question about it answered for 75 s, although there are no troubles. */
 static void
 check_known (User *u)
 {
-  if (!world.calm_at || !u->accepted || world.now - MAX (u->answered_at, world.calm_at) <= 75000000)
+  if (!fakes.faults_over_at || !u->accepted ||
+      fakes.now - MAX (u->answered_at, fakes.faults_over_at) <= 75000000)
     return;
-  world_broken ("forgotten: no answer about %s for 75 s", u->id);
-  u->answered_at = world.now;
+  record_violation ("forgotten: no answer about %s for 75 s", u->id);
+  u->answered_at = fakes.now;
 }
 
 static gboolean
@@ -1433,7 +1440,7 @@
   GHashTableIter it;
   gpointer value;
   guint n = 0;
-  g_hash_table_iter_init (&it, world.machines);
+  g_hash_table_iter_init (&it, fakes.machines);
   while (g_hash_table_iter_next (&it, NULL, &value)) {
     const Machine *m = value;
     if (!m || (zone ? !g_str_equal (m->zone, zone) : m != only))
@@ -1453,7 +1460,7 @@
   double used = 0;
   for (guint i = 0; i < m->tasks->len; i++) {
     const Task *t = m->tasks->pdata[i];
-    const User *u = g_hash_table_lookup (world.jobs, t->job);
+    const User *u = g_hash_table_lookup (fakes.jobs, t->job);
     if (u && !g_str_equal (t->state, "exited") && (!team || g_str_equal (u->team, team)))
       used += u->cpus;
   }
@@ -1471,20 +1478,21 @@
   guint on = 0, here, most = (u->tasks + 1) / 2;
   gboolean room = FALSE;
 
-  g_hash_table_iter_init (&it, world.machines);
+  g_hash_table_iter_init (&it, fakes.machines);
   while (g_hash_table_iter_next (&it, NULL, &value)) {
     team += cpus_in_use (value, u->team);
     on += tasks_in (u, NULL, value);
   }
   if (u->n_completed + on >= u->tasks ||
-      (world.o.team_limit > 0 && team + u->cpus > world.o.team_limit + 1e-6))
+      (fakes.options.team_limit > 0 && team + u->cpus > fakes.options.team_limit + 1e-6))
     return FALSE;
-  g_hash_table_iter_init (&it, world.machines);
+  g_hash_table_iter_init (&it, fakes.machines);
   while (g_hash_table_iter_next (&it, NULL, &value)) {
     const Machine *m = value;
     here = tasks_in (u, m->zone, NULL);
-    room |= m->up && !m->dead && cpus_in_use (m, NULL) + u->cpus <= world.o.machine_cpus + 1e-6 &&
-            (u->placing != SIM_ONE_ZONE || here == on) && (u->placing != SIM_APART || here < most);
+    room |= m->up && !m->dead &&
+            cpus_in_use (m, NULL) + u->cpus <= fakes.options.machine_cpus + 1e-6 &&
+            (u->placing != SIM_ONE_ZONE || here == on) && (u->placing != SIM_SPREAD || here < most);
   }
   return room;
 }
@@ -1494,9 +1502,9 @@
 check_begun (User *u)
 {
   if (u->began_at || !u->accepted || u->aborting || u->late ||
-      world.now - MAX (u->submitted_at, world.calm_at) <= 240000000)
+      fakes.now - MAX (u->submitted_at, fakes.faults_over_at) <= 240000000)
     return;
-  world_broken ("not_begun: nothing of %s for 240 s", u->id);
+  record_violation ("not_begun: nothing of %s for 240 s", u->id);
   u->late = TRUE;
 }
 
@@ -1505,8 +1513,8 @@
 {
   GHashTableIter it;
   gpointer value;
-  world_later (1, check_waiting, NULL);
-  g_hash_table_iter_init (&it, world.jobs);
+  schedule_after (1, check_waiting, NULL);
+  g_hash_table_iter_init (&it, fakes.jobs);
   while (g_hash_table_iter_next (&it, NULL, &value)) {
     User *u = value;
     check_begun (u);
@@ -1515,28 +1523,28 @@
       continue;
     }
     if (!u->room_at)
-      u->room_at = world.now;
-    if (world.now - u->room_at > 90000000) {
-      world_broken ("waits: %s for 90 s beside room", u->id);
-      u->room_at = world.now;
+      u->room_at = fakes.now;
+    if (fakes.now - u->room_at > 90000000) {
+      record_violation ("waits: %s for 90 s beside room", u->id);
+      u->room_at = fakes.now;
     }
   }
   return FALSE;
 }
 
 void
-sim_calm (void)
+sim_faults_over (void)
 {
-  liveness_calm ();
-  if (!world.calm_at)
+  liveness_faults_over ();
+  if (!fakes.faults_over_at)
     check_waiting (NULL);
-  world.calm_at = world.now;
+  fakes.faults_over_at = fakes.now;
 }
 
 double
-sim_began (const char *id)
+sim_time_to_first_task (const char *id)
 {
-  const User *u = g_hash_table_lookup (world.jobs, id);
+  const User *u = g_hash_table_lookup (fakes.jobs, id);
   return u->began_at ? (u->began_at - u->submitted_at) / 1e6 : -1;
 }
 
@@ -1546,21 +1554,21 @@
 tell (User *u, const char *word, gint64 asked_at)
 {
   gboolean final = over (u);
-  u->answered_at = world.now;
+  u->answered_at = fakes.now;
   if (final && asked_at < u->over_at)
     return; /* asked before: the two answers overtook each other */
   if (final && !g_str_equal (u->told, word))
-    world_broken ("went_back: %s was %s, is %s", u->id, u->told, word);
+    record_violation ("went_back: %s was %s, is %s", u->id, u->told, word);
   if (g_str_equal (word, "done") && u->n_completed < u->tasks)
-    world_broken ("not_done: %s with %u of %u", u->id, u->n_completed, u->tasks);
+    record_violation ("not_done: %s with %u of %u", u->id, u->n_completed, u->tasks);
   if (g_str_equal (word, "cancelled") && !u->aborting)
-    world_broken ("went_back: %s was not cancelled by its user", u->id);
+    record_violation ("went_back: %s was not cancelled by its user", u->id);
   if (g_str_equal (word, "cancelled") && !u->cancelled_at)
-    u->cancelled_at = world.now;
+    u->cancelled_at = fakes.now;
   g_free (u->told);
   u->told = g_strdup (word);
   if (!final && over (u)) {
-    u->over_at = world.now;
+    u->over_at = fakes.now;
     look_everywhere (u);
   }
 }
@@ -1580,7 +1588,7 @@
   User *u = look->user;
   const char *word = json_string_value (json_object_get (body, "Bearing"));
   if (status == 400 || status == 404 || status == 422)
-    world_broken ("forgotten: %s gets %u at n%u", u->id, status, look->node);
+    record_violation ("forgotten: %s gets %u at n%u", u->id, status, look->node);
   else if (status == 200 && word)
     tell (u, word, look->asked_at);
 }
@@ -1589,23 +1597,23 @@
 look (gpointer data)
 {
   Look *l = data;
-  g_autofree char *address = world_node_address (l->node, WORLD_USER_PORT);
+  g_autofree char *address = sim_node_address (l->node, SIM_CLIENT_PORT);
   g_autofree char *poll = g_strdup_printf ("/api/jobs/%s", l->user->id);
-  l->asked_at = world.now;
+  l->asked_at = fakes.now;
   if (l->submits)
-    world_call ("user", "POST", address, "/api/jobs", json_incref (l->user->body), 5, looked, l);
+    fakes_call ("user", "POST", address, "/api/jobs", json_incref (l->user->body), 5, looked, l);
   else
-    world_call ("user", "GET", address, poll, NULL, 2, looked, l);
+    fakes_call ("user", "GET", address, poll, NULL, 2, looked, l);
   return FALSE;
 }
 
 static void
 look_everywhere (User *u)
 {
-  for (guint i = 0; world.o.close_looks && i < 2 * world.o.nodes; i++) {
+  for (guint i = 0; fakes.options.poll_after_change && i < 2 * fakes.options.nodes; i++) {
     Look *l = g_new (Look, 1);
     *l = (Look){ u, i / 2, i % 2, 0 };
-    world_later (g_rand_double_range (world.rng, 0, 0.02), look, l);
+    schedule_after (g_rand_double_range (fakes.rng, 0, 0.02), look, l);
   }
 }
 
@@ -1614,10 +1622,10 @@
 {
   gboolean first = !u->accepted;
   u->accepted = TRUE;
-  u->answered_at = world.now;
+  u->answered_at = fakes.now;
   if (!first)
     return;
-  u->accepted_at = world.now;
+  u->accepted_at = fakes.now;
   look_everywhere (u);
 }
 
@@ -1639,7 +1647,7 @@
 question_new (User *u)
 {
   Question *question = g_new (Question, 1);
-  *question = (Question){ u, world.now };
+  *question = (Question){ u, fakes.now };
   return question;
 }
 
@@ -1652,8 +1660,8 @@
   if (status == 200 && word)
     tell (u, word, question->asked_at);
   else if (status == 404)
-    world_broken ("forgotten: %s gets 404", u->id);
-  world_later (cancelling (u) ? 1 : 5, user_step, u);
+    record_violation ("forgotten: %s gets 404", u->id);
+  schedule_after (cancelling (u) ? 1 : 5, user_step, u);
 }
 
 static void
@@ -1667,8 +1675,8 @@
     if (word)
       tell (u, word, question->asked_at);
   } else if (u->accepted && (status == 400 || status == 422))
-    world_broken ("forgotten: %s is refused", u->id);
-  world_later (u->accepted && !cancelling (u) ? 5 : 1, user_step, u);
+    record_violation ("forgotten: %s is refused", u->id);
+  schedule_after (u->accepted && !cancelling (u) ? 5 : 1, user_step, u);
 }
 
 static void
@@ -1691,14 +1699,14 @@
 {
   g_autofree Question *question = data;
   note_answer (question, status, body);
-  world_later (1, user_step, question->user);
+  schedule_after (1, user_step, question->user);
 }
 
 static void
-ask_abort (User *u, const char *node, KrReply reply)
+ask_abort (User *u, const char *node, KrHttpResponseFunc reply)
 {
   g_autofree char *path = g_strdup_printf ("/api/jobs/%s/abort", u->id);
-  world_call ("user", "POST", node, path, NULL, 5, reply, question_new (u));
+  fakes_call ("user", "POST", node, path, NULL, 5, reply, question_new (u));
 }
 
 static gboolean
@@ -1707,21 +1715,21 @@
   User *u = data;
   g_autofree char *node = some_node ();
   g_autofree char *poll = g_strdup_printf ("/api/jobs/%s", u->id);
-  gint turn = g_rand_int_range (world.rng, 0, 3);
+  gint turn = g_rand_int_range (fakes.rng, 0, 3);
   check_known (u);
   if (u->accepted && cancelling (u) && turn == 0)
     ask_abort (u, node, user_aborted);
   else if (!u->accepted || (cancelling (u) && turn == 1))
-    world_call ("user", "POST", node, "/api/jobs", json_incref (u->body), 5, submitted,
+    fakes_call ("user", "POST", node, "/api/jobs", json_incref (u->body), 5, submitted,
                 question_new (u));
   else
-    world_call ("user", "GET", node, poll, NULL, 2, polled, question_new (u));
+    fakes_call ("user", "GET", node, poll, NULL, 2, polled, question_new (u));
   return FALSE;
 }
 
 static void
 submit (const char *id, const char *team, const char *rank, guint tasks, double cpus, double run_s,
-        double deadline_s, SimPlacing placing)
+        double deadline_s, SimPlacement placing)
 {
   User *u = g_new0 (User, 1);
   u->id = g_strdup (id);
@@ -1731,15 +1739,15 @@
   u->run_s = run_s;
   u->placing = placing;
   u->told = g_strdup ("");
-  u->submitted_at = world.now;
+  u->submitted_at = fakes.now;
   u->completed = g_malloc0 (tasks);
   u->body = json_pack ("{ss ss ss ss ss sI sf sf sf ss sf sn sn sb sb sb sf sf sf sf}", "Id", id,
                        "Lane", "l", "Crew", team, "Form", "array", "Rank", rank, "Shifts",
                        (json_int_t) tasks, "Cores", cpus, "Accelerators", 0.0, "MemGb", 1.0,
                        "Cargo", "img", "PullGb", 0.0, "Hulls", "Harbor", "OneZone",
-                       placing == SIM_ONE_ZONE, "Apart", placing == SIM_APART, "Driftwood", 1,
+                       placing == SIM_ONE_ZONE, "Apart", placing == SIM_SPREAD, "Driftwood", 1,
                        "SailS", run_s, "MooringS", 0.0, "StowS", 0.0, "TideS", deadline_s);
-  g_hash_table_insert (world.jobs, u->id, u);
+  g_hash_table_insert (fakes.jobs, u->id, u);
   user_step (u);
 }
 
@@ -1752,7 +1760,7 @@
 
 void
 sim_submit_placed (const char *id, const char *team, guint tasks, double cpus, double run_s,
-                   SimPlacing placing)
+                   SimPlacement placing)
 {
   submit (id, team, "normal", tasks, cpus, run_s, 600, placing);
 }
@@ -1760,52 +1768,52 @@
 void
 sim_poll_at (const char *id, guint node)
 {
-  User *u = g_hash_table_lookup (world.jobs, id);
-  g_autofree char *address = world_node_address (node, WORLD_USER_PORT);
+  User *u = g_hash_table_lookup (fakes.jobs, id);
+  g_autofree char *address = sim_node_address (node, SIM_CLIENT_PORT);
   g_autofree char *path = g_strdup_printf ("/api/jobs/%s", id);
-  world_call ("user", "GET", address, path, NULL, 5, answered, question_new (u));
+  fakes_call ("user", "GET", address, path, NULL, 5, answered, question_new (u));
 }
 
 void
-sim_mistaken (const char *id, gboolean on)
+sim_job_fail_tasks (const char *id, gboolean on)
 {
-  ((User *) g_hash_table_lookup (world.jobs, id))->mistaken = on;
+  ((User *) g_hash_table_lookup (fakes.jobs, id))->mistaken = on;
 }
 
 static void
 start_abort (const char *id, const char *node)
 {
-  User *u = g_hash_table_lookup (world.jobs, id);
+  User *u = g_hash_table_lookup (fakes.jobs, id);
   u->aborting = TRUE;
   ask_abort (u, node, answered); /* now; user_step goes on */
 }
 
 void
-sim_abort (const char *id)
+sim_cancel (const char *id)
 {
   g_autofree char *node = some_node ();
   start_abort (id, node);
 }
 
 void
-sim_abort_at (const char *id, guint node)
+sim_cancel_at (const char *id, guint node)
 {
-  g_autofree char *address = world_node_address (node, WORLD_USER_PORT);
+  g_autofree char *address = sim_node_address (node, SIM_CLIENT_PORT);
   start_abort (id, address);
 }
 
 const char *
-sim_told (const char *id)
+sim_reported_state (const char *id)
 {
-  return ((User *) g_hash_table_lookup (world.jobs, id))->told;
+  return ((User *) g_hash_table_lookup (fakes.jobs, id))->told;
 }
 
 gboolean
-sim_all_over (void)
+sim_all_jobs_finished (void)
 {
   GHashTableIter it;
   gpointer value;
-  g_hash_table_iter_init (&it, world.jobs);
+  g_hash_table_iter_init (&it, fakes.jobs);
   while (g_hash_table_iter_next (&it, NULL, &value)) {
     if (!over (value))
       return FALSE;
@@ -1827,9 +1835,9 @@
 static guint
 request (guint node, guint port, const char *method, const char *path, const char *body)
 {
-  g_autofree char *address = world_node_address (node, port);
+  g_autofree char *address = sim_node_address (node, port);
   Asked a = { FALSE, 0 };
-  world_call ("user", method, address, path, body ? json_loads (body, 0, NULL) : NULL, 5, asked,
+  fakes_call ("user", method, address, path, body ? json_loads (body, 0, NULL) : NULL, 5, asked,
               &a);
   while (!a.over)
     sim_run (0.01);
@@ -1839,33 +1847,33 @@
 static void
 count_answer (guint status, json_t *body, gpointer data)
 {
-  world.answered[status]++;
+  fakes.response_counts[status]++;
 }
 
 void
-sim_ask (guint node, const char *method, const char *path, const char *body)
+sim_request_async (guint node, const char *method, const char *path, const char *body)
 {
-  g_autofree char *address = world_node_address (node, WORLD_USER_PORT);
-  world_call ("user", method, address, path, body ? json_loads (body, 0, NULL) : NULL, 5,
+  g_autofree char *address = sim_node_address (node, SIM_CLIENT_PORT);
+  fakes_call ("user", method, address, path, body ? json_loads (body, 0, NULL) : NULL, 5,
               count_answer, NULL);
 }
 
 guint
-sim_answered (guint status)
+sim_response_count (guint status)
 {
-  return world.answered[status];
+  return fakes.response_counts[status];
 }
 
 guint
 sim_request (guint node, const char *method, const char *path, const char *body)
 {
-  return request (node, WORLD_USER_PORT, method, path, body);
+  return request (node, SIM_CLIENT_PORT, method, path, body);
 }
 
 guint
-sim_peer (guint node, const char *method, const char *path, const char *body)
+sim_peer_request (guint node, const char *method, const char *path, const char *body)
 {
-  return request (node, WORLD_PEER_PORT, method, path, body);
+  return request (node, SIM_PEER_PORT, method, path, body);
 }
 static json_t *
 address_json (char *address)
@@ -1876,66 +1884,66 @@
 }
 
 json_t *
-world_settings (guint node)
+fakes_node_settings (guint node)
 {
   json_t *others = json_array (), *teams = json_array ();
-  for (guint k = 0; k < world.o.nodes; k++)
+  for (guint k = 0; k < fakes.options.nodes; k++)
     if (k != node)
       json_array_append_new (
           others, json_pack ("{so ss so}", "node_name", json_sprintf ("berth-%u", k), "zone", "z",
-                             "peer_addr", address_json (world_peer_address (node, k))));
-  for (guint k = 0; k < MAX (world.o.teams, world.o.nodes); k++)
+                             "peer_addr", address_json (sim_peer_address (node, k))));
+  for (guint k = 0; k < MAX (fakes.options.teams, fakes.options.nodes); k++)
     json_array_append_new (teams, json_pack ("{so sf}", "name", json_sprintf ("team%u", k),
-                                             "cpus_max", world.o.team_limit));
+                                             "cpus_max", fakes.options.team_limit));
   return json_pack (
       "{so ss so so so s{so so} s{si sf so s{sf sf sf} s{sf sf sf si} s{sf sf} s{sf sf si}}}",
       "node_name", json_sprintf ("berth-%u", node), "zone", "z", "client_listen",
-      address_json (world_node_address (node, WORLD_USER_PORT)), "internal_addr",
-      address_json (world_node_address (node, WORLD_PEER_PORT)), "others", others, "external",
-      "cloud", address_json (world_cloud_address (node)), "state",
-      address_json (world_state_address (node)), "facts", "size", (int) world.o.nodes,
-      "clock_error_ms", 5.0, "teams", teams, "workers", "report_s", world.o.report_s, "lease_s",
-      world.o.lease_s, "cancel_s", world.o.cancel_s, "state", "rps", 150.0, "write_rps",
-      world.o.write_rps, "value_kb", world.o.value_kb, "txn_ops", 12, "cloud", "rps", 3.0,
-      "list_lag_s", 2.0, "resources", "core_share", 0.1, "ram_mb", 60.0, "sockets", 900);
+      address_json (sim_node_address (node, SIM_CLIENT_PORT)), "internal_addr",
+      address_json (sim_node_address (node, SIM_PEER_PORT)), "others", others, "external", "cloud",
+      address_json (sim_cloud_address (node)), "state", address_json (sim_state_address (node)),
+      "facts", "size", (int) fakes.options.nodes, "clock_error_ms", 5.0, "teams", teams, "workers",
+      "report_s", fakes.options.report_s, "lease_s", fakes.options.lease_s, "cancel_s",
+      fakes.options.cancel_s, "state", "rps", 150.0, "write_rps", fakes.options.write_rps,
+      "value_kb", fakes.options.value_kb, "txn_ops", 12, "cloud", "rps", 3.0, "list_lag_s", 2.0,
+      "resources", "core_share", 0.1, "ram_mb", 60.0, "sockets", 900);
 }
 
 /* --- life ------------------------------------------------------------------------------------ */
 void
-world_start (guint32 seed, const SimOptions *options)
+fakes_start (guint32 seed, const SimOptions *options)
 {
-  memset (&world, 0, sizeof world);
-  world.o = *options;
-  world.rng = g_rand_new_with_seed (seed);
+  memset (&fakes, 0, sizeof fakes);
+  fakes.options = *options;
+  fakes.rng = g_rand_new_with_seed (seed);
   g_random_set_seed (seed);
-  world.running = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
-  world.store = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, entry_free);
-  world.leases = g_hash_table_new_full (g_int64_hash, g_int64_equal, g_free, g_free);
-  world.follows = g_ptr_array_new ();
-  world.changes = g_array_new (FALSE, FALSE, sizeof (Change));
-  world.machines = g_hash_table_new (g_str_hash, g_str_equal);
-  world.charters = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
-  world.jobs = g_hash_table_new (g_str_hash, g_str_equal);
-  world.broken = g_string_new (NULL);
-  world.cuts = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
-  world.held = g_ptr_array_new ();
-  world_later (0.05, expire_leases, NULL);
+  fakes.running_tasks = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
+  fakes.store = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, entry_free);
+  fakes.leases = g_hash_table_new_full (g_int64_hash, g_int64_equal, g_free, g_free);
+  fakes.watches = g_ptr_array_new ();
+  fakes.changes = g_array_new (FALSE, FALSE, sizeof (Change));
+  fakes.machines = g_hash_table_new (g_str_hash, g_str_equal);
+  fakes.rentals = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
+  fakes.jobs = g_hash_table_new (g_str_hash, g_str_equal);
+  fakes.violations = g_string_new (NULL);
+  fakes.links = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
+  fakes.held_messages = g_ptr_array_new ();
+  schedule_after (0.05, expire_leases, NULL);
 }
 
 void
-world_stop (void)
+fakes_stop (void)
 {
-  g_string_free (world.broken, TRUE);
+  g_string_free (fakes.violations, TRUE);
 }
 
 const char *
-sim_broken (void)
+sim_violations (void)
 {
-  return world.broken->str;
+  return fakes.violations->str;
 }
 
 guint
-sim_started (void)
+sim_tasks_started (void)
 {
-  return world.started;
+  return fakes.tasks_started;
 }
--- a/tests/scenes.c
+++ b/tests/fixture.c
@@ -1,28 +1,28 @@
-#include "scenes.h"
+#include "fixture.h"
 #include <string.h>
 
-const SimOptions usual = {
+const SimOptions default_options = {
   .nodes = 3,
   .machine_cpus = 8,
   .report_s = 2,
   .lease_s = 12,
   .cancel_s = 40,
   .spot_price = 0.2,
-  .machines = 8,
+  .max_machines = 8,
   .value_kb = 16,
   .write_rps = 50,
 };
 guint32 seed;
 
 void
-begin (const SimOptions *o)
+start_cluster (const SimOptions *o)
 {
   sim_start (seed, o);
   sim_run (3);
 }
 
 void
-submit_some (guint tasks, double run_s)
+submit_jobs (guint tasks, double run_s)
 {
   sim_submit ("wk-000001", "team0", "normal", tasks, 1, run_s, 600);
   sim_submit ("wk-000002", "team1", "normal", tasks, 1, run_s, 600);
@@ -30,32 +30,32 @@
 }
 
 void
-work_off (double within_s)
+run_until_finished (double within_s)
 {
   double end = sim_now () + within_s;
-  while (!sim_all_over () && sim_now () < end)
+  while (!sim_all_jobs_finished () && sim_now () < end)
     sim_run (5);
 }
 
 /* Every machine has gone back, and no part's record holds one. */
 void
-assert_all_returned (void)
+assert_all_machines_released (void)
 {
-  g_assert_cmpuint (sim_machines (), ==, 0);
-  g_assert_cmpuint (sim_recorded (), ==, 0);
+  g_assert_cmpuint (sim_machine_count (), ==, 0);
+  g_assert_cmpuint (sim_recorded_machines (), ==, 0);
 }
 
 /* Lets the work end; every rule has been watched meanwhile. */
 void
-finish (double within_s)
+finish_and_check (double within_s)
 {
-  sim_calm ();
-  work_off (within_s);
+  sim_faults_over ();
+  run_until_finished (within_s);
   while (!sim_liveness_checked ())
     sim_run (1);
-  g_assert_cmpstr (sim_broken (), ==, "");
-  g_assert_true (sim_all_over ());
-  g_assert_cmpuint (sim_started (), >, 0);
+  g_assert_cmpstr (sim_violations (), ==, "");
+  g_assert_true (sim_all_jobs_finished ());
+  g_assert_cmpuint (sim_tasks_started (), >, 0);
   sim_stop ();
 }
 
@@ -71,58 +71,58 @@
 
 /* Between a machine and every node. */
 void
-cut_off (const char *machine, SimCut how)
+set_machine_links (const char *machine, SimLinkState how)
 {
-  for (guint i = 0; i < usual.nodes; i++) {
+  for (guint i = 0; i < default_options.nodes; i++) {
     g_autofree char *node = g_strdup_printf ("n%u", i);
-    sim_cut_both (machine, node, how);
+    sim_set_link_both (machine, node, how);
   }
 }
 
 void
-deafen (const char *machine, SimCut how)
+set_links_to_machine (const char *machine, SimLinkState how)
 {
-  for (guint i = 0; i < usual.nodes; i++) {
+  for (guint i = 0; i < default_options.nodes; i++) {
     g_autofree char *node = g_strdup_printf ("n%u", i);
-    sim_cut (node, machine, how);
+    sim_set_link (node, machine, how);
   }
 }
 
 /* Between all nodes. */
 void
-cut_peers (SimCut how)
+set_peer_links (SimLinkState how)
 {
-  for (guint i = 0; i < usual.nodes; i++) {
+  for (guint i = 0; i < default_options.nodes; i++) {
     g_autofree char *a = g_strdup_printf ("n%u", i);
-    g_autofree char *b = g_strdup_printf ("n%u", (i + 1) % usual.nodes);
-    sim_cut_both (a, b, how);
+    g_autofree char *b = g_strdup_printf ("n%u", (i + 1) % default_options.nodes);
+    sim_set_link_both (a, b, how);
   }
 }
 
 /* Between a node and all machines that there may be. */
 void
-cut_workers (const char *node, SimCut how)
+set_worker_links (const char *node, SimLinkState how)
 {
   for (guint i = 0; i < 12; i++) {
     g_autofree char *m = g_strdup_printf ("host-%06u", i);
-    sim_cut_both (node, m, how);
+    sim_set_link_both (node, m, how);
   }
 }
 
 /* Between those who may take over from n0 and n0, a machine, and the cloud. */
 void
-cut_successors (const char *machine, SimCut how)
+set_successor_links (const char *machine, SimLinkState how)
 {
-  for (guint i = 1; i < usual.nodes; i++) {
+  for (guint i = 1; i < default_options.nodes; i++) {
     g_autofree char *n = g_strdup_printf ("n%u", i);
-    sim_cut_both ("n0", n, how);
-    sim_cut_both (machine, n, how);
-    sim_cut_both ("cloud", n, how);
+    sim_set_link_both ("n0", n, how);
+    sim_set_link_both (machine, n, how);
+    sim_set_link_both ("cloud", n, how);
   }
 }
 
 void
-crash (guint node, double away_s)
+crash_and_restart (guint node, double away_s)
 {
   sim_node_kill (node);
   sim_run (away_s);
@@ -130,7 +130,7 @@
 }
 
 void
-crash_all (guint nodes, double away_s)
+crash_and_restart_all (guint nodes, double away_s)
 {
   for (guint i = 0; i < nodes; i++)
     sim_node_kill (i);
@@ -140,7 +140,7 @@
 }
 
 char *
-job_with (const char *field, const char *value)
+job_json_with (const char *field, const char *value)
 {
   json_t *job = json_pack ("{ss ss ss ss ss si sf sf sf ss sf sn sn sb sb sb sf sf sf sn}", "Id",
                            "wk-7", "Lane", "l", "Crew", "team0", "Form", "array", "Rank", "normal",
@@ -157,7 +157,7 @@
 }
 
 void
-scenes_init (int *argc, char ***argv)
+fixture_init (int *argc, char ***argv)
 {
   const char *fixed = g_getenv ("KR_TEST_SEED");
   g_test_init (argc, argv, NULL);
--- a/tests/liveness.c
+++ b/tests/liveness.c
@@ -1,5 +1,5 @@
 #include "liveness.h"
-#include "world.h"
+#include "fakes.h"
 
 #define SERVES_WITHIN_S 30.0 /* of the last trouble */
 #define READY_TIMEOUT_S 5.0
@@ -15,18 +15,18 @@
 ready_answered (guint status, json_t *body, gpointer data)
 {
   guint node = GPOINTER_TO_UINT (data);
-  if (status != 200 && world_node_alive (node))
-    world_broken ("lost: n%u answers %u to /ready %.0f s after the last trouble", node, status,
-                  SERVES_WITHIN_S);
+  if (status != 200 && sim_node_alive (node))
+    record_violation ("lost: n%u answers %u to /ready %.0f s after the last trouble", node, status,
+                      SERVES_WITHIN_S);
   liveness.checked = --liveness.unanswered == 0;
 }
 
 static void
 ask_ready (guint node)
 {
-  g_autofree char *address = world_node_address (node, WORLD_USER_PORT);
+  g_autofree char *address = sim_node_address (node, SIM_CLIENT_PORT);
   liveness.unanswered++;
-  world_call ("user", "GET", address, "/ready", NULL, READY_TIMEOUT_S, ready_answered,
+  fakes_call ("user", "GET", address, "/ready", NULL, READY_TIMEOUT_S, ready_answered,
               GUINT_TO_POINTER (node));
 }
 
@@ -34,30 +34,30 @@
 check (gpointer data)
 {
   gint64 due = liveness.calm_at + (gint64) (SERVES_WITHIN_S * G_USEC_PER_SEC);
-  if (world.now < due) {
-    world_later (LOOK_S, check, NULL);
+  if (fakes.now < due) {
+    schedule_after (LOOK_S, check, NULL);
     return G_SOURCE_REMOVE;
   }
-  for (guint part = 0; part < world.o.nodes; part++) {
-    int owner = sim_owner (part);
-    if (owner < 0 || !world_node_alive ((guint) owner))
-      world_broken ("unowned: part %u has no live owner %.0f s after the last trouble", part,
-                    SERVES_WITHIN_S);
+  for (guint shard = 0; shard < fakes.options.nodes; shard++) {
+    int owner = sim_shard_owner (shard);
+    if (owner < 0 || !sim_node_alive ((guint) owner))
+      record_violation ("unowned: part %u has no live owner %.0f s after the last trouble", shard,
+                        SERVES_WITHIN_S);
   }
-  for (guint node = 0; node < world.o.nodes; node++)
-    if (world_node_alive (node))
+  for (guint node = 0; node < fakes.options.nodes; node++)
+    if (sim_node_alive (node))
       ask_ready (node);
   return G_SOURCE_REMOVE;
 }
 
 void
-liveness_calm (void)
+liveness_faults_over (void)
 {
-  if (!world.calm_at) {
+  if (!fakes.faults_over_at) {
     liveness.checked = FALSE;
-    world_later (SERVES_WITHIN_S, check, NULL);
+    schedule_after (SERVES_WITHIN_S, check, NULL);
   }
-  liveness.calm_at = world.now;
+  liveness.calm_at = fakes.now;
 }
 
 gboolean
--- a/tests/liveness.h
+++ b/tests/liveness.h
@@ -4,4 +4,4 @@
 #include <glib.h>
 
 /* The last trouble is over now; the check is put off from an earlier such moment. */
-void liveness_calm (void);
+void liveness_faults_over (void);
--- a/tests/sim.c
+++ b/tests/sim.c
@@ -1,10 +1,10 @@
-/* Simulated time, network and nodes: the world (world.c) around real nodes, one event at a time. */
-#include "world.h"
+/* Simulated time, network and nodes: the world (fakes.c) around real nodes, one event at a time. */
+#include "fakes.h"
 #include "clock.h"
 #include "constants.h"
 #include "http-client.h"
 #include "http-server.h"
-#include "part.h"
+#include "shard.h"
 #include "wire.h"
 #include <math.h>
 #include <string.h>
@@ -44,14 +44,14 @@
   guint64 order;
   guint next_id;
   gint current; /* node whose code runs */
-  Node nodes[WORLD_MAX_NODES];
-  GHashTable *servers; /* address -> KrServer */
+  Node nodes[SIM_MAX_NODES];
+  GHashTable *servers; /* address -> KrHttpServer */
   guint beats;         /* reports handled */
   guint64 beat_steps;
   GHashTable *commands; /* address -> direct commands to it under way */
   guint commands_most;  /* to one address at once, so far */
-  guint lose_reads[WORLD_MAX_NODES];
-  gboolean refuse_peers[WORLD_MAX_NODES];
+  guint lose_reads[SIM_MAX_NODES];
+  gboolean refuse_peers[SIM_MAX_NODES];
 } sim;
 
 static int
@@ -77,27 +77,27 @@
 }
 
 void
-world_later (double s, GSourceFunc func, gpointer data)
+schedule_after (double s, GSourceFunc func, gpointer data)
 {
-  push (world.now + (gint64) (s * 1e6), -1, func, data);
+  push (fakes.now + (gint64) (s * 1e6), -1, func, data);
 }
 
 gint64
 kr_now (void)
 {
-  return (gint64) ((double) world.now * (1 + world.o.drift)) + 1000000;
+  return (gint64) ((double) fakes.now * (1 + fakes.options.clock_drift)) + 1000000;
 }
 
 double
-kr_time_of_day (void)
+kr_wall_clock_s (void)
 {
-  return 1790000000.0 + world.now / 1e6;
+  return 1790000000.0 + fakes.now / 1e6;
 }
 
 guint
 kr_timer_add (guint ms, GSourceFunc func, gpointer data)
 {
-  GSequenceIter *i = push (world.now + (gint64) ms * 1000, sim.current, func, data);
+  GSequenceIter *i = push (fakes.now + (gint64) ms * 1000, sim.current, func, data);
   Event *e = g_sequence_get (i);
   e->id = ++sim.next_id;
   e->every_ms = MAX (1, ms);
@@ -124,7 +124,7 @@
 }
 
 void
-kr_stall_watch (guint ms, GSourceFunc func, gpointer data)
+kr_stall_detector_add (guint ms, GSourceFunc func, gpointer data)
 {
   Node *n = &sim.nodes[sim.current];
   n->stall_us = (gint64) ms * 1000;
@@ -150,7 +150,7 @@
 void
 sim_run (double seconds)
 {
-  gint64 end = world.now + (gint64) (seconds * 1e6);
+  gint64 end = fakes.now + (gint64) (seconds * 1e6);
   for (;;) {
     GSequenceIter *i = g_sequence_get_begin_iter (sim.queue);
     Event *e = g_sequence_iter_is_end (i) ? NULL : g_sequence_get (i);
@@ -158,7 +158,7 @@
       break;
     /* Out of the queue first, so that func may remove its own timer. */
     Event copy = *e;
-    world.now = MAX (world.now, e->at);
+    fakes.now = MAX (fakes.now, e->at);
     e->at = e->at + MAX (1, (gint64) copy.every_ms * 1000);
     if (!copy.every_ms)
       g_sequence_remove (i);
@@ -170,7 +170,7 @@
       continue;
     }
     if (hung (copy.owner)) { /* it finds the timer over when it goes on */
-      e->at = world.now + HANG_STEP_US;
+      e->at = fakes.now + HANG_STEP_US;
       g_sequence_sort_changed (i, event_order, NULL);
       continue;
     }
@@ -180,22 +180,22 @@
     if (copy.every_ms && !again)
       kr_timer_remove (copy.id);
   }
-  world.now = end;
+  fakes.now = end;
 }
 
 double
 sim_now (void)
 {
-  return world.now / 1e6;
+  return fakes.now / 1e6;
 }
 
 /* --- http: calls -------------------------------------------------------------------------- */
-struct KrClient {
+struct KrHttpClient {
   gint owner;
 };
 
-struct KrServer {
-  KrHandler handler;
+struct KrHttpServer {
+  KrHttpHandler handler;
   gpointer data;
   gint owner;
   guint life;
@@ -221,19 +221,19 @@
 }
 
 void
-sim_node_refuse_peers (guint i, gboolean on)
+sim_node_drop_peer_requests (guint i, gboolean on)
 {
   sim.refuse_peers[i] = on;
 }
 
 void
-sim_lose_reads (guint node, guint n)
+sim_drop_range_reads (guint node, guint n)
 {
   sim.lose_reads[node] = n;
 }
 
 guint
-sim_commands_at_once (void)
+sim_max_concurrent_commands (void)
 {
   return sim.commands_most;
 }
@@ -241,16 +241,16 @@
 static void
 call_end (Call *c, guint status, json_t *body)
 {
-  if (c->over)
+  if (c->completed)
     return;
-  gboolean asker_lives = alive (c->owner, c->life);
+  gboolean asker_lives = alive (c->owner, c->incarnation);
   if (asker_lives && hung (c->owner)) {
     c->status = status;
-    c->answer = body;
-    world_later (HANG_STEP_US / 1e6, answer_arrives, c);
+    c->response = body;
+    schedule_after (HANG_STEP_US / 1e6, answer_arrives, c);
     return;
   }
-  c->over = TRUE;
+  c->completed = TRUE;
   count_command (c, -1);
   if (!asker_lives)
     return;
@@ -271,23 +271,23 @@
 answer_arrives (gpointer data)
 {
   Call *c = data;
-  call_end (c, c->status, c->answer);
+  call_end (c, c->status, c->response);
   return FALSE;
 }
 
 void
-world_answer_call (Call *c, guint status, json_t *body)
+fakes_respond (Call *c, guint status, json_t *body)
 {
   c->status = status;
-  c->answer = body;
-  if (world_cut (c->to, c->from) == SIM_DROP) {
+  c->response = body;
+  if (fakes_link_state (c->to, c->from) == SIM_LINK_DROP) {
     json_t *orders = json_object_get (body, "Orders"), *o;
     size_t i;
     json_array_foreach (
         orders, i, o) if (g_strcmp0 (json_string_value (json_object_get (o, "Order")), "run") == 0)
-        world_count_unheard (c->from);
+        fakes_count_lost_run (c->from);
   }
-  world_deliver (c->to, c->from, answer_arrives, c);
+  fakes_deliver (c->to, c->from, answer_arrives, c);
 }
 
 /* Steps of walks over all machines of a part, in a node so far. */
@@ -296,13 +296,13 @@
 {
   const Node *n = &sim.nodes[i];
   guint64 sum = 0;
-  for (guint p = 0; n->node && p < world.o.nodes; p++)
-    sum += n->node->parts[p] ? kr_part_walked (n->node->parts[p]) : 0;
+  for (guint p = 0; n->node && p < fakes.options.nodes; p++)
+    sum += n->node->shards[p] ? kr_shard_machine_visits (n->node->shards[p]) : 0;
   return sum;
 }
 
 guint
-sim_beats (guint64 *steps)
+sim_reports_handled (guint64 *steps)
 {
   *steps = sim.beat_steps;
   return sim.beats;
@@ -311,7 +311,7 @@
 static gboolean
 is_peer_address (const char *address)
 {
-  g_autofree char *port = g_strdup_printf (":%u", WORLD_PEER_PORT);
+  g_autofree char *port = g_strdup_printf (":%u", SIM_PEER_PORT);
   return g_str_has_suffix (address, port);
 }
 
@@ -319,15 +319,15 @@
 call_arrives (gpointer data)
 {
   Call *c = data;
-  KrServer *s = g_hash_table_lookup (sim.servers, c->host);
+  KrHttpServer *s = g_hash_table_lookup (sim.servers, c->host);
   if (!s) {
-    world_answer (c);
+    fakes_handle_request (c);
     return FALSE;
   }
   if (!alive (s->owner, s->life) || (sim.refuse_peers[s->owner] && is_peer_address (c->host)))
     return FALSE;
   if (hung (s->owner)) {
-    world_later (HANG_STEP_US / 1e6, call_arrives, c);
+    schedule_after (HANG_STEP_US / 1e6, call_arrives, c);
     return FALSE;
   }
   KrRequest *r = g_new0 (KrRequest, 1);
@@ -361,7 +361,7 @@
 static void
 copy_later (const Call *c)
 {
-  world_copy (c->from, c->method, c->host, c->path, c->body);
+  fakes_send_duplicate_later (c->from, c->method, c->host, c->path, c->body);
 }
 
 /* Sent, it arrives after `late_s` beyond the usual. */
@@ -369,13 +369,14 @@
 call_sent (gpointer data)
 {
   Call *c = data;
-  world_deliver (c->from, c->to, call_arrives, c);
+  fakes_deliver (c->from, c->to, call_arrives, c);
   return FALSE;
 }
 
 Call *
-world_call_late (const char *from, const char *method, const char *address, const char *path,
-                 json_t *body, double timeout_s, double late_s, KrReply reply, gpointer data)
+fakes_call_delayed (const char *from, const char *method, const char *address, const char *path,
+                    json_t *body, double timeout_s, double late_s, KrHttpResponseFunc reply,
+                    gpointer data)
 {
   Call *c = g_new0 (Call, 1);
   c->from = g_strdup (from);
@@ -385,26 +386,26 @@
   c->path = g_strdup (path);
   c->body = body;
   c->owner = sim.current;
-  c->life = c->owner >= 0 ? sim.nodes[c->owner].life : 0;
+  c->incarnation = c->owner >= 0 ? sim.nodes[c->owner].life : 0;
   c->reply = reply;
   c->data = data;
   count_command (c, 1);
-  world_later (timeout_s, call_late, c);
+  schedule_after (timeout_s, call_late, c);
   if (late_s > 0)
-    world_later (late_s, call_sent, c);
+    schedule_after (late_s, call_sent, c);
   else
     call_sent (c);
-  if (!world_copying && !g_str_has_prefix (from, "host-") &&
-      g_rand_double (world.rng) < world.o.repeats)
+  if (!fakes_sending_duplicate && !g_str_has_prefix (from, "host-") &&
+      g_rand_double (fakes.rng) < fakes.options.duplicate_requests)
     copy_later (c);
   return c;
 }
 
 Call *
-world_call (const char *from, const char *method, const char *address, const char *path,
-            json_t *body, double timeout_s, KrReply reply, gpointer data)
+fakes_call (const char *from, const char *method, const char *address, const char *path,
+            json_t *body, double timeout_s, KrHttpResponseFunc reply, gpointer data)
 {
-  return world_call_late (from, method, address, path, body, timeout_s, 0, reply, data);
+  return fakes_call_delayed (from, method, address, path, body, timeout_s, 0, reply, data);
 }
 
 static gboolean
@@ -417,32 +418,33 @@
 static void
 call_cancelled (GCancellable *cancel, gpointer data)
 {
-  world_later (0, call_cancelled_now, data);
+  schedule_after (0, call_cancelled_now, data);
 }
 
-KrClient *
-kr_client_new (guint conns, guint conns_per_host, guint idle_s)
+KrHttpClient *
+kr_http_client_new (guint conns, guint conns_per_host, guint idle_s)
 {
-  KrClient *c = g_new0 (KrClient, 1);
+  KrHttpClient *c = g_new0 (KrHttpClient, 1);
   c->owner = sim.current;
   return c;
 }
 
 guint
-kr_calls_lost (void)
+kr_http_client_lost_calls (void)
 {
   return 0;
 }
 
 void
-kr_client_free (KrClient *c)
+kr_http_client_free (KrHttpClient *c)
 {
   g_free (c);
 }
 
 void
-kr_client_call (KrClient *client, const char *method, const char *host, const char *path,
-                json_t *body, guint timeout_ms, GCancellable *cancel, KrReply reply, gpointer data)
+kr_http_client_call (KrHttpClient *client, const char *method, const char *host, const char *path,
+                     json_t *body, guint timeout_ms, GCancellable *cancel, KrHttpResponseFunc reply,
+                     gpointer data)
 {
   g_autofree char *from = g_strdup_printf ("n%d", sim.current);
   if (sim.lose_reads[sim.current] && g_str_has_prefix (path, "/store?")) {
@@ -450,25 +452,25 @@
     json_decref (body);
     return;
   }
-  Call *c = world_call (from, method, host, path, body, timeout_ms / 1000.0, reply, data);
+  Call *c = fakes_call (from, method, host, path, body, timeout_ms / 1000.0, reply, data);
   if (cancel && g_cancellable_is_cancelled (cancel))
-    world_later (0, call_cancelled_now, c);
+    schedule_after (0, call_cancelled_now, c);
   else if (cancel)
     g_signal_connect (cancel, "cancelled", G_CALLBACK (call_cancelled), c);
 }
 
-KrServer *
-kr_server_new (const char *address, guint conns, guint idle_s, GCancellable *cancel,
-               KrHandler handler, gpointer data, GError **error)
+KrHttpServer *
+kr_http_server_new (const char *address, guint conns, guint idle_s, GCancellable *cancel,
+                    KrHttpHandler handler, gpointer data, GError **error)
 {
-  KrServer *s = g_new0 (KrServer, 1);
-  *s = (KrServer){ handler, data, sim.current, sim.nodes[sim.current].life };
+  KrHttpServer *s = g_new0 (KrHttpServer, 1);
+  *s = (KrHttpServer){ handler, data, sim.current, sim.nodes[sim.current].life };
   g_hash_table_replace (sim.servers, g_strdup (address), s);
   return s;
 }
 
 void
-kr_server_free (KrServer *s)
+kr_http_server_free (KrHttpServer *s)
 {
 }
 
@@ -491,15 +493,15 @@
 }
 
 gboolean
-kr_request_gone (KrRequest *r)
+kr_request_disconnected (KrRequest *r)
 {
-  return r->call->over;
+  return r->call->completed;
 }
 
 void
 kr_request_reply (KrRequest *r, guint status, json_t *body, guint retry_after_s)
 {
-  world_answer_call (r->call, status, body ? body : json_object ());
+  fakes_respond (r->call, status, body ? body : json_object ());
   g_free (r);
 }
 /* --- nodes and life
@@ -508,7 +510,7 @@
 settings (guint node)
 {
   g_autoptr (GError) error = NULL;
-  json_t *root = world_settings (node);
+  json_t *root = fakes_node_settings (node);
   KrSettings *s = kr_settings_from_json (root, &error);
   g_assert_no_error (error);
   json_decref (root);
@@ -535,16 +537,16 @@
 }
 
 void
-sim_node_hang (guint i, gboolean on)
+sim_node_pause (guint i, gboolean on)
 {
   Node *n = &sim.nodes[i];
-  if (n->hung && !on && world.now - n->hung_at > n->stall_us) {
+  if (n->hung && !on && fakes.now - n->hung_at > n->stall_us) {
     sim.current = (gint) i;
     n->stalled (n->stalled_data);
     sim.current = -1;
   }
   n->hung = on;
-  n->hung_at = world.now;
+  n->hung_at = fakes.now;
 }
 
 /* With KR_TEST_LOG set: what the nodes log, with simulated time and node. */
@@ -572,8 +574,8 @@
   sim.current = -1;
   sim.servers = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
   sim.commands = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
-  world_start (seed, options);
-  for (guint i = 0; i < world.o.nodes; i++)
+  fakes_start (seed, options);
+  for (guint i = 0; i < fakes.options.nodes; i++)
     sim_node_start (i);
 }
 
@@ -583,41 +585,41 @@
   g_sequence_free (sim.queue);
   g_hash_table_unref (sim.timers);
   g_hash_table_unref (sim.commands);
-  world_stop ();
+  fakes_stop ();
 }
 
 char *
-world_node_address (guint node, guint port)
+sim_node_address (guint node, guint port)
 {
   return g_strdup_printf ("10.0.0.%u:%u", node + 1, port);
 }
 
 char *
-world_machine_address (guint number)
+sim_machine_address (guint number)
 {
   return g_strdup_printf ("10.1.0.%u:9000", number);
 }
 
 gboolean
-world_node_alive (guint node)
+sim_node_alive (guint node)
 {
   return sim.nodes[node].alive;
 }
 
 char *
-world_state_address (guint node)
+sim_state_address (guint node)
 {
   return g_strdup (STATE_ADDRESS);
 }
 
 char *
-world_cloud_address (guint node)
+sim_cloud_address (guint node)
 {
   return g_strdup (CLOUD_ADDRESS);
 }
 
 char *
-world_peer_address (guint node, guint peer)
+sim_peer_address (guint node, guint peer)
 {
-  return world_node_address (peer, WORLD_PEER_PORT);
+  return sim_node_address (peer, SIM_PEER_PORT);
 }
--- a/tests/soak/backend.c
+++ b/tests/soak/backend.c
@@ -27,10 +27,10 @@
   GMainLoop *loop;
   GSequence *timers; /* Timer */
   guint64 order;
-  GHashTable *clients; /* who asks -> KrClient */
+  GHashTable *clients; /* who asks -> KrHttpClient */
   guint users;         /* requests of users so far */
   GCancellable *cancel;
-  Process nodes[WORLD_MAX_NODES];
+  Process nodes[SIM_MAX_NODES];
 } backend;
 
 /* --- time ---------------------------------------------------------------------------- */
@@ -44,7 +44,7 @@
 static void
 update_now (void)
 {
-  world.now = g_get_monotonic_time () - backend.began;
+  fakes.now = g_get_monotonic_time () - backend.began;
 }
 
 static int
@@ -64,7 +64,7 @@
   update_now ();
   for (;;) {
     GSequenceIter *first = g_sequence_get_begin_iter (backend.timers);
-    if (g_sequence_iter_is_end (first) || ((Timer *) g_sequence_get (first))->at > world.now)
+    if (g_sequence_iter_is_end (first) || ((Timer *) g_sequence_get (first))->at > fakes.now)
       return G_SOURCE_CONTINUE;
     Timer timer = *(Timer *) g_sequence_get (first);
     g_sequence_remove (first);
@@ -73,17 +73,17 @@
 }
 
 void
-world_later (double s, GSourceFunc func, gpointer data)
+schedule_after (double s, GSourceFunc func, gpointer data)
 {
   Timer *timer = g_new (Timer, 1);
-  *timer = (Timer){ world.now + (gint64) (s * 1e6), ++backend.order, func, data };
+  *timer = (Timer){ fakes.now + (gint64) (s * 1e6), ++backend.order, func, data };
   g_sequence_insert_sorted (backend.timers, timer, earlier, NULL);
 }
 
 double
 sim_now (void)
 {
-  return world.now / 1e6;
+  return fakes.now / 1e6;
 }
 
 static gboolean
@@ -109,27 +109,27 @@
 }
 
 char *
-world_node_address (guint node, guint port)
+sim_node_address (guint node, guint port)
 {
   return loopback_address (0, node + 1, port);
 }
 
 char *
-world_state_address (guint node)
+sim_state_address (guint node)
 {
   return loopback_address (2, node + 1, STATE_PORT);
 }
 
 char *
-world_cloud_address (guint node)
+sim_cloud_address (guint node)
 {
   return loopback_address (3, node + 1, 8443);
 }
 
 char *
-world_peer_address (guint node, guint peer)
+sim_peer_address (guint node, guint peer)
 {
-  return loopback_address (FIRST_PROXY + node, peer + 1, WORLD_PEER_PORT);
+  return loopback_address (FIRST_PROXY + node, peer + 1, SIM_PEER_PORT);
 }
 
 /* The node's name behind an address for users, workers or peers. */
@@ -142,15 +142,15 @@
 
 /* One session each: a session looks at all its calls whenever one of them goes on, so that hundreds
  * of machines in one would hold the whole world up. */
-static KrClient *
+static KrHttpClient *
 client_of (const char *from)
 {
   g_autofree char *name = g_str_equal (from, "user")
                               ? g_strdup_printf ("user %u", backend.users++ % USER_SESSIONS)
                               : g_strdup (from);
-  KrClient *client = g_hash_table_lookup (backend.clients, name);
+  KrHttpClient *client = g_hash_table_lookup (backend.clients, name);
   if (!client) {
-    client = kr_client_new (CONNECTIONS, CONNECTIONS, IDLE_S);
+    client = kr_http_client_new (CONNECTIONS, CONNECTIONS, IDLE_S);
     g_hash_table_insert (backend.clients, g_steal_pointer (&name), client);
   }
   return client;
@@ -166,16 +166,16 @@
 answer_leaves (gpointer data)
 {
   Call *c = data;
-  kr_request_reply (c->message, c->status, c->answer, 0);
+  kr_request_reply (c->http_request, c->status, c->response, 0);
   return G_SOURCE_REMOVE;
 }
 
 void
-world_answer_call (Call *c, guint status, json_t *body)
+fakes_respond (Call *c, guint status, json_t *body)
 {
   c->status = status;
-  c->answer = body;
-  world_deliver (c->to, c->from, answer_leaves, c);
+  c->response = body;
+  fakes_deliver (c->to, c->from, answer_leaves, c);
 }
 
 static void
@@ -183,7 +183,7 @@
 {
   update_now ();
   if (status)
-    world_answer_call (data, status, json_incref (body));
+    fakes_respond (data, status, json_incref (body));
 }
 
 static gboolean
@@ -191,12 +191,12 @@
 {
   Call *c = data;
   if (c->to[0] != 'n') {
-    world_answer (c);
+    fakes_handle_request (c);
     return G_SOURCE_REMOVE;
   }
-  g_autofree char *host = world_node_address ((guint) atoi (c->to + 1), WORLD_PEER_PORT);
-  kr_client_call (client_of (c->from), c->method, host, c->path, json_incref (c->body), 5000, NULL,
-                  peer_answered, c);
+  g_autofree char *host = sim_node_address ((guint) atoi (c->to + 1), SIM_PEER_PORT);
+  kr_http_client_call (client_of (c->from), c->method, host, c->path, json_incref (c->body), 5000,
+                       NULL, peer_answered, c);
   return G_SOURCE_REMOVE;
 }
 
@@ -213,8 +213,8 @@
   c->path = g_strconcat (kr_request_path (request), query ? "?" : "", query ? query : "", NULL);
   c->body = json_incref (kr_request_json (request));
   c->owner = -1;
-  c->message = request;
-  world_deliver (c->from, c->to, request_arrives, c);
+  c->http_request = request;
+  fakes_deliver (c->from, c->to, request_arrives, c);
 }
 
 static void
@@ -223,14 +223,14 @@
   g_autoptr (GError) error = NULL;
   Link *link = g_new (Link, 1);
   *link = (Link){ from, to };
-  if (!kr_server_new (where, CONNECTIONS, IDLE_S, backend.cancel, asked, link, &error))
+  if (!kr_http_server_new (where, CONNECTIONS, IDLE_S, backend.cancel, asked, link, &error))
     g_error ("%s", error->message);
   g_free (where);
 }
 
 /* Which node commands a machine cannot be told from its address: cuts are of its reports. */
 char *
-world_machine_address (guint number)
+sim_machine_address (guint number)
 {
   char *where = loopback_address (FIRST_MACHINES + number / PER_HOST, 1 + number % PER_HOST, 9000);
   listen_at (g_strdup (where), g_strdup ("nodes"), g_strdup_printf ("host-%06u", number));
@@ -242,10 +242,10 @@
 call_over (gpointer data)
 {
   Call *c = data;
-  if (c->over)
+  if (c->completed)
     return G_SOURCE_REMOVE;
-  c->over = TRUE;
-  c->reply (c->status, c->answer, c->data);
+  c->completed = TRUE;
+  c->reply (c->status, c->response, c->data);
   return G_SOURCE_REMOVE;
 }
 
@@ -253,9 +253,9 @@
 call_late (gpointer data)
 {
   Call *c = data;
-  if (!c->over) {
+  if (!c->completed) {
     c->status = 0;
-    c->answer = NULL;
+    c->response = NULL;
   }
   return call_over (c);
 }
@@ -265,19 +265,19 @@
 {
   Call *c = data;
   update_now ();
-  if (c->over)
+  if (c->completed)
     return;
   c->status = status;
-  c->answer = json_incref (body);
-  world_deliver (c->to, c->from, call_over, c);
+  c->response = json_incref (body);
+  fakes_deliver (c->to, c->from, call_over, c);
 }
 
 static gboolean
 call_arrives (gpointer data)
 {
   Call *c = data;
-  kr_client_call (client_of (c->from), c->method, c->host, c->path, json_incref (c->body), 5000,
-                  NULL, node_answered, c);
+  kr_http_client_call (client_of (c->from), c->method, c->host, c->path, json_incref (c->body),
+                       5000, NULL, node_answered, c);
   return G_SOURCE_REMOVE;
 }
 
@@ -285,13 +285,14 @@
 call_leaves (gpointer data)
 {
   Call *c = data;
-  world_deliver (c->from, c->to, call_arrives, c);
+  fakes_deliver (c->from, c->to, call_arrives, c);
   return G_SOURCE_REMOVE;
 }
 
 Call *
-world_call_late (const char *from, const char *method, const char *address, const char *path,
-                 json_t *body, double timeout_s, double late_s, KrReply reply, gpointer data)
+fakes_call_delayed (const char *from, const char *method, const char *address, const char *path,
+                    json_t *body, double timeout_s, double late_s, KrHttpResponseFunc reply,
+                    gpointer data)
 {
   Call *c = g_new0 (Call, 1);
   c->from = g_strdup (from);
@@ -303,19 +304,19 @@
   c->owner = -1;
   c->reply = reply;
   c->data = data;
-  world_later (timeout_s, call_late, c);
+  schedule_after (timeout_s, call_late, c);
   if (late_s > 0)
-    world_later (late_s, call_leaves, c);
+    schedule_after (late_s, call_leaves, c);
   else
     call_leaves (c);
   return c;
 }
 
 Call *
-world_call (const char *from, const char *method, const char *address, const char *path,
-            json_t *body, double timeout_s, KrReply reply, gpointer data)
+fakes_call (const char *from, const char *method, const char *address, const char *path,
+            json_t *body, double timeout_s, KrHttpResponseFunc reply, gpointer data)
 {
-  return world_call_late (from, method, address, path, body, timeout_s, 0, reply, data);
+  return fakes_call_delayed (from, method, address, path, body, timeout_s, 0, reply, data);
 }
 
 /* --- processes ----------------------------------------------------------------------- */
@@ -334,7 +335,7 @@
 settings_file (guint node)
 {
   g_autoptr (GString) text = g_string_new (NULL);
-  json_t *root = world_settings (node), *value;
+  json_t *root = fakes_node_settings (node), *value;
   const char *key;
   json_object_foreach (root, key, value)
   {
@@ -357,7 +358,7 @@
   /* A killed one is noted as such before, and may have a successor by now. */
   if (process->alive && process->pid == pid) {
     process->alive = FALSE;
-    world_broken ("n%d ended by itself (status %d)", (int) (process - backend.nodes), status);
+    record_violation ("n%d ended by itself (status %d)", (int) (process - backend.nodes), status);
   }
   g_spawn_close_pid (pid);
 }
@@ -399,7 +400,7 @@
 }
 
 void
-sim_node_hang (guint i, gboolean on)
+sim_node_pause (guint i, gboolean on)
 {
   Process *process = &backend.nodes[i];
   if (process->alive && process->stopped != on)
@@ -408,7 +409,7 @@
 }
 
 gboolean
-world_node_alive (guint node)
+sim_node_alive (guint node)
 {
   return backend.nodes[node].alive;
 }
@@ -416,7 +417,7 @@
 int
 backend_leader (void)
 {
-  json_t *leader = world_stored ("c/leader");
+  json_t *leader = fakes_stored_value ("c/leader");
   const char *name = json_string_value (json_object_get (leader, "Node"));
   return name ? atoi (name + strlen ("berth-")) : -1;
 }
@@ -424,7 +425,7 @@
 void
 backend_check_logs (void)
 {
-  for (guint i = 0; i < world.o.nodes; i++) {
+  for (guint i = 0; i < fakes.options.nodes; i++) {
     g_autofree char *path = g_strdup_printf ("%s/n%u.log", backend.dir, i);
     g_autofree char *text = NULL;
     if (!g_file_get_contents (path, &text, NULL, NULL))
@@ -433,7 +434,7 @@
     for (char **line = lines; *line; line++)
       if (strstr (*line, " error ") || strstr (*line, "runtime error") ||
           strstr (*line, "AddressSanitizer"))
-        world_broken ("n%u: %s", i, *line);
+        record_violation ("n%u: %s", i, *line);
   }
 }
 
@@ -461,14 +462,13 @@
   backend.cancel = g_cancellable_new ();
   backend.timers = g_sequence_new (g_free);
   g_timeout_add (TIMER_STEP_MS, run_timers, NULL);
-  world_start (seed, options);
+  fakes_start (seed, options);
   for (guint i = 0; i < options->nodes; i++) {
-    listen_at (world_state_address (i), g_strdup_printf ("n%u", i), g_strdup ("state"));
-    listen_at (world_cloud_address (i), g_strdup_printf ("n%u", i), g_strdup ("cloud"));
+    listen_at (sim_state_address (i), g_strdup_printf ("n%u", i), g_strdup ("state"));
+    listen_at (sim_cloud_address (i), g_strdup_printf ("n%u", i), g_strdup ("cloud"));
     for (guint k = 0; k < options->nodes; k++)
       if (k != i)
-        listen_at (world_peer_address (i, k), g_strdup_printf ("n%u", i),
-                   g_strdup_printf ("n%u", k));
+        listen_at (sim_peer_address (i, k), g_strdup_printf ("n%u", i), g_strdup_printf ("n%u", k));
   }
   for (guint i = 0; i < options->nodes; i++)
     sim_node_start (i);
@@ -477,6 +477,6 @@
 void
 backend_stop (void)
 {
-  for (guint i = 0; i < world.o.nodes; i++)
+  for (guint i = 0; i < fakes.options.nodes; i++)
     sim_node_kill (i);
 }
--- a/tests/soak/backend.h
+++ b/tests/soak/backend.h
@@ -1,6 +1,6 @@
-/* Real time, real processes: carries the world's messages (world.h) over HTTP on loopback. */
+/* Real time, real processes: carries the world's messages (fakes.h) over HTTP on loopback. */
 #pragma once
-#include "world.h"
+#include "fakes.h"
 
 /* Everything of a run is on 127.<net>.0.0/16: runs side by side need different ones. Logs and
  * settings go below `dir`. */
--- a/tests/soak/soak.c
+++ b/tests/soak/soak.c
@@ -24,7 +24,7 @@
   guint kind; /* place in `kinds` */
   double at_s, for_s, share;
   guint node;
-  SimCut how;
+  SimLinkState how;
   char **machines; /* that it has hit */
   guint left;      /* leaders still to be killed */
   gboolean on;
@@ -45,24 +45,24 @@
 }
 
 /* --- faults: each begins or ends ------------------------------------------------------- */
-static SimCut
+static SimLinkState
 cut_of (const Fault *fault, gboolean on)
 {
-  return on ? fault->how : SIM_OPEN;
+  return on ? fault->how : SIM_LINK_UP;
 }
 
 static void
-cut_node (guint node, const char *other, SimCut how)
+cut_node (guint node, const char *other, SimLinkState how)
 {
   g_autofree char *name = g_strdup_printf ("n%u", node);
-  sim_cut_both (name, other, how);
+  sim_set_link_both (name, other, how);
 }
 
 static gboolean
 start_node (gpointer data)
 {
   guint node = GPOINTER_TO_UINT (data);
-  if (!world_node_alive (node))
+  if (!sim_node_alive (node))
     sim_node_start (node);
   return G_SOURCE_REMOVE;
 }
@@ -71,7 +71,7 @@
 kill_for (guint node, double seconds)
 {
   sim_node_kill (node);
-  world_later (seconds, start_node, GUINT_TO_POINTER (node));
+  schedule_after (seconds, start_node, GUINT_TO_POINTER (node));
 }
 
 static void
@@ -84,7 +84,7 @@
 static void
 kill_all (Fault *fault, gboolean on)
 {
-  for (guint i = 0; on && i < world.o.nodes; i++)
+  for (guint i = 0; on && i < fakes.options.nodes; i++)
     kill_for (i, fault->for_s + 0.2 * i);
 }
 
@@ -93,10 +93,10 @@
 {
   Fault *fault = data;
   int leader = backend_leader ();
-  if (leader >= 0 && world_node_alive ((guint) leader))
+  if (leader >= 0 && sim_node_alive ((guint) leader))
     kill_for ((guint) leader, fault->for_s / 4);
   if (--fault->left)
-    world_later (fault->for_s / 3, kill_leader, fault);
+    schedule_after (fault->for_s / 3, kill_leader, fault);
   return G_SOURCE_REMOVE;
 }
 
@@ -112,14 +112,14 @@
 static void
 stop_node (Fault *fault, gboolean on)
 {
-  sim_node_hang (fault->node, on);
+  sim_node_pause (fault->node, on);
 }
 
 /* For longer than connections stay unused. */
 static void
 stop_for_long (Fault *fault, gboolean on)
 {
-  fault->for_s = MAX (fault->for_s, KR_CLIENT_IDLE_S + LONG_STOP_MORE_S);
+  fault->for_s = MAX (fault->for_s, KR_CONN_IDLE_S + LONG_STOP_MORE_S);
   stop_node (fault, on);
 }
 
@@ -138,8 +138,8 @@
   if (!fault->on)
     return G_SOURCE_REMOVE;
   sim_state_outage (TRUE);
-  world_later (FLAP_OUT_S, state_is_back, NULL);
-  world_later (FLAP_EVERY_S, state_goes, fault);
+  schedule_after (FLAP_OUT_S, state_is_back, NULL);
+  schedule_after (FLAP_EVERY_S, state_goes, fault);
   return G_SOURCE_REMOVE;
 }
 
@@ -147,7 +147,7 @@
 stop_beside_flaps (Fault *fault, gboolean on)
 {
   fault->on = on;
-  sim_node_hang (fault->node, on);
+  sim_node_pause (fault->node, on);
   if (!on)
     return;
   fault->for_s = MAX (fault->for_s, LEAST_FLAPS_S);
@@ -157,7 +157,7 @@
 static void
 state_refuses (Fault *fault, gboolean on)
 {
-  sim_state_refuse (fault->node, on);
+  sim_state_refuse_node (fault->node, on);
 }
 
 static void
@@ -175,20 +175,20 @@
 static void
 state_slow (Fault *fault, gboolean on)
 {
-  sim_state_slow (on ? 0.6 : 0);
+  sim_state_delay (on ? 0.6 : 0);
 }
 
 static void
 late_writes (Fault *fault, gboolean on)
 {
-  sim_late_writes (on ? 0.3 : 0);
+  sim_delay_commits (on ? 0.3 : 0);
 }
 
 static void
 lost_answers (Fault *fault, gboolean on)
 {
   if (on)
-    sim_lose_commit_answers (4);
+    sim_drop_commit_responses (4);
 }
 
 /* Writes of the parts' records are carried out much later. */
@@ -201,7 +201,7 @@
 static void
 peers_cut (Fault *fault, gboolean on)
 {
-  for (guint i = 0; i < world.o.nodes; i++) {
+  for (guint i = 0; i < fakes.options.nodes; i++) {
     g_autofree char *peer = g_strdup_printf ("n%u", i);
     if (i != fault->node)
       cut_node (fault->node, peer, cut_of (fault, on));
@@ -217,21 +217,21 @@
 static void
 late_commands (Fault *fault, gboolean on)
 {
-  sim_late_commands (on ? 0.5 : 0);
+  sim_delay_commands (on ? 0.5 : 0);
 }
 
 static void
 old_reports (Fault *fault, gboolean on)
 {
   if (on)
-    sim_old_reports ();
+    sim_replay_old_reports ();
 }
 
 static void
 each_machine (const Fault *fault, void (*what) (const char *id, gboolean on), gboolean on)
 {
   for (char **m = fault->machines; *m; m++)
-    if (sim_machine_lives (*m))
+    if (sim_machine_alive (*m))
       what (*m, on);
 }
 
@@ -239,7 +239,7 @@
 delay_report (const char *id, gboolean on)
 {
   if (on)
-    sim_delay_report (id, g_rand_double_range (schedule_random, 0.2, 3));
+    sim_delay_next_report (id, g_rand_double_range (schedule_random, 0.2, 3));
 }
 
 static void
@@ -251,20 +251,20 @@
 static void
 hang (Fault *fault, gboolean on)
 {
-  each_machine (fault, sim_machine_hang, on);
+  each_machine (fault, sim_machine_pause, on);
 }
 
 static void
 mute (Fault *fault, gboolean on)
 {
-  each_machine (fault, sim_machine_mute, on);
+  each_machine (fault, sim_machine_stop_reports, on);
 }
 
 static gboolean
 cancel_job (gpointer data)
 {
   g_autofree char *id = job_id (GPOINTER_TO_UINT (data));
-  sim_abort_at (id, (guint) g_rand_int_range (user_random, 0, (gint32) world.o.nodes));
+  sim_cancel_at (id, (guint) g_rand_int_range (user_random, 0, (gint32) fakes.options.nodes));
   return G_SOURCE_REMOVE;
 }
 
@@ -272,7 +272,7 @@
 ask_about (gpointer data)
 {
   g_autofree char *id = job_id (GPOINTER_TO_UINT (data));
-  for (guint i = 0; i < world.o.nodes; i++)
+  for (guint i = 0; i < fakes.options.nodes; i++)
     sim_poll_at (id, i);
   return G_SOURCE_REMOVE;
 }
@@ -283,9 +283,9 @@
   Fault *fault = data;
   for (guint i = 0; i < CANCELLED_AT_ONCE && i < submitted; i++) {
     g_autofree char *id = job_id (submitted - i);
-    sim_abort_at (id, fault->node);
+    sim_cancel_at (id, fault->node);
   }
-  each_machine (fault, sim_machine_mute, TRUE);
+  each_machine (fault, sim_machine_stop_reports, TRUE);
   return G_SOURCE_REMOVE;
 }
 
@@ -295,12 +295,12 @@
 silent_after_cancel (Fault *fault, gboolean on)
 {
   if (!on) {
-    each_machine (fault, sim_machine_mute, FALSE);
+    each_machine (fault, sim_machine_stop_reports, FALSE);
     return;
   }
-  fault->for_s = MAX (fault->for_s, SILENT_LEASES * world.o.lease_s);
+  fault->for_s = MAX (fault->for_s, SILENT_LEASES * fakes.options.lease_s);
   late_reports (fault, TRUE);
-  world_later (world.o.report_s, cancel_and_mute, fault);
+  schedule_after (fakes.options.report_s, cancel_and_mute, fault);
 }
 
 /* An owner ends while machines hang and the cloud deletes none of them, for longer than a lease;
@@ -309,44 +309,44 @@
 takeover_without_cloud (Fault *fault, gboolean on)
 {
   sim_cloud_outage (on);
-  each_machine (fault, sim_machine_hang, on);
+  each_machine (fault, sim_machine_pause, on);
   if (!on)
     return;
-  fault->for_s = MAX (fault->for_s, SILENT_LEASES * world.o.lease_s);
+  fault->for_s = MAX (fault->for_s, SILENT_LEASES * fakes.options.lease_s);
   kill_for (fault->node, fault->for_s * g_rand_double_range (schedule_random, 0.02, 0.6));
   for (guint i = 0; i < CANCELLED_AT_ONCE && i < submitted; i++) {
-    world_later (g_rand_double_range (schedule_random, 0, fault->for_s / 2), cancel_job,
-                 GUINT_TO_POINTER (submitted - i));
-    world_later (g_rand_double_range (schedule_random, 0, fault->for_s), ask_about,
-                 GUINT_TO_POINTER (submitted - i));
+    schedule_after (g_rand_double_range (schedule_random, 0, fault->for_s / 2), cancel_job,
+                    GUINT_TO_POINTER (submitted - i));
+    schedule_after (g_rand_double_range (schedule_random, 0, fault->for_s), ask_about,
+                    GUINT_TO_POINTER (submitted - i));
   }
 }
 
 static void
 watches_slow (Fault *fault, gboolean on)
 {
-  sim_watches_slow (on ? 3 : 0);
+  sim_watch_delay (on ? 3 : 0);
 }
 
 static void
-deafen (const char *id, gboolean on)
+set_links_to_machine (const char *id, gboolean on)
 {
-  SimCut how = on ? SIM_DROP : SIM_OPEN;
-  for (guint i = 0; i < world.o.nodes; i++) {
+  SimLinkState how = on ? SIM_LINK_DROP : SIM_LINK_UP;
+  for (guint i = 0; i < fakes.options.nodes; i++) {
     g_autofree char *node = g_strdup_printf ("n%u", i);
-    sim_cut (node, id, how);
+    sim_set_link (node, id, how);
   }
-  sim_cut ("nodes", id, how);
+  sim_set_link ("nodes", id, how);
 }
 
 static void
 deaf (Fault *fault, gboolean on)
 {
-  each_machine (fault, deafen, on);
+  each_machine (fault, set_links_to_machine, on);
 }
 
 static void
-cut_workers (Fault *fault, gboolean on)
+set_worker_links (Fault *fault, gboolean on)
 {
   for (char **m = fault->machines; *m; m++)
     cut_node (fault->node, *m, cut_of (fault, on));
@@ -391,7 +391,7 @@
   { "takeover-without-cloud", takeover_without_cloud },
   { "watches-slow", watches_slow },
   { "deaf", deaf },
-  { "cut-workers", cut_workers },
+  { "cut-workers", set_worker_links },
   { "die", machines_die },
   { "stop-beside-flaps", stop_beside_flaps },
   { "stop-for-long", stop_for_long },
@@ -415,8 +415,8 @@
 {
   Fault *fault = data;
   kinds[fault->kind].set (fault, FALSE);
-  if (world.calm_at)
-    sim_calm (); /* it was the last one */
+  if (fakes.faults_over_at)
+    sim_faults_over (); /* it was the last one */
   return G_SOURCE_REMOVE;
 }
 
@@ -426,7 +426,7 @@
   Fault *fault = data;
   fault->machines = some_machines (fault->share);
   kinds[fault->kind].set (fault, TRUE);
-  world_later (fault->for_s, end_fault, fault);
+  schedule_after (fault->for_s, end_fault, fault);
   return G_SOURCE_REMOVE;
 }
 
@@ -437,7 +437,7 @@
     const Fault *fault = faults->pdata[i];
     printf ("  at %6.2f s for %5.2f s: %s (n%u, share %.2f, %s)\n", fault->at_s, fault->for_s,
             kinds[fault->kind].name, fault->node, fault->share,
-            fault->how == SIM_HOLD ? "hold" : "drop");
+            fault->how == SIM_LINK_HOLD ? "hold" : "drop");
   }
 }
 
@@ -453,10 +453,10 @@
     fault->at_s = at_s;
     fault->for_s = g_rand_double_range (schedule_random, 0.3, 3 * FAULT_EVERY_S);
     fault->share = g_rand_double_range (schedule_random, 0.05, 0.4);
-    fault->node = (guint) g_rand_int_range (schedule_random, 0, (gint32) world.o.nodes);
-    fault->how = g_rand_boolean (schedule_random) ? SIM_HOLD : SIM_DROP;
+    fault->node = (guint) g_rand_int_range (schedule_random, 0, (gint32) fakes.options.nodes);
+    fault->how = g_rand_boolean (schedule_random) ? SIM_LINK_HOLD : SIM_LINK_DROP;
     g_ptr_array_add (faults, fault);
-    world_later (at_s, begin_fault, fault);
+    schedule_after (at_s, begin_fault, fault);
     at_s += g_rand_double_range (schedule_random, 0.2, 2 * FAULT_EVERY_S);
   }
   return faults;
@@ -471,17 +471,18 @@
   static const char *const ranks[] = { "normal", "normal", "urgent", "critical" };
   guint number = ++submitted;
   g_autofree char *id = job_id (number);
-  g_autofree char *team = g_strdup_printf ("team%u", number % world.o.nodes);
+  g_autofree char *team = g_strdup_printf ("team%u", number % fakes.options.nodes);
   /* Larger jobs where there are more machines: the users ask no more often for that. */
   guint tasks = (guint) g_rand_int_range (user_random, 1, MAX (2, options.workers / 6));
   double run_s = g_rand_double_range (user_random, 1, 18);
   sim_submit (id, team, ranks[g_rand_int_range (user_random, 0, G_N_ELEMENTS (ranks))], tasks,
               g_rand_int_range (user_random, 1, 4), run_s, 120);
   if (g_rand_double (user_random) < 0.35)
-    world_later (g_rand_double_range (user_random, 0, 12), cancel_job, GUINT_TO_POINTER (number));
-  world_later (g_rand_double_range (user_random, 0, 12), ask_about, GUINT_TO_POINTER (number));
+    schedule_after (g_rand_double_range (user_random, 0, 12), cancel_job,
+                    GUINT_TO_POINTER (number));
+  schedule_after (g_rand_double_range (user_random, 0, 12), ask_about, GUINT_TO_POINTER (number));
   if (sim_now () < options.seconds - CALM_S)
-    world_later (JOB_EVERY_S * g_rand_double_range (user_random, 0.5, 1.5), submit_job, NULL);
+    schedule_after (JOB_EVERY_S * g_rand_double_range (user_random, 0.5, 1.5), submit_job, NULL);
   return G_SOURCE_REMOVE;
 }
 
@@ -497,28 +498,28 @@
                        .lease_s = 4 + 2 * report_s,
                        .cancel_s = 14 + 4 * report_s,
                        .spot_price = 0.2,
-                       .machines = (guint) options.workers,
+                       .max_machines = (guint) options.workers,
                        .value_kb = 16,
                        .write_rps = 150,
-                       .copies = 0.03,
-                       .vary = 0.3,
-                       .fetch_s = 0.1,
+                       .duplicate_reports = 0.03,
+                       .run_time_jitter = 0.3,
+                       .image_pull_s = 0.1,
                        .boot_min_s = 0.5,
                        .boot_max_s = 3,
                        .team_limit = options.workers * 8 / 2.0,
-                       .close_looks = TRUE };
+                       .poll_after_change = TRUE };
 }
 
 static void
 wait_for_work (void)
 {
-  while ((!sim_all_over () || !sim_liveness_checked ()) &&
-         sim_now () < world.calm_at / 1e6 + WORK_OFF_S)
+  while ((!sim_all_jobs_finished () || !sim_liveness_checked ()) &&
+         sim_now () < fakes.faults_over_at / 1e6 + WORK_OFF_S)
     sim_run (1);
-  if (!sim_all_over ())
-    world_broken ("work is left %.0f s after the last trouble", WORK_OFF_S);
+  if (!sim_all_jobs_finished ())
+    record_violation ("work is left %.0f s after the last trouble", WORK_OFF_S);
   if (!sim_liveness_checked ())
-    world_broken ("not every controller was asked whether it is ready");
+    record_violation ("not every controller was asked whether it is ready");
 }
 
 static int
@@ -530,20 +531,20 @@
   user_random = g_rand_new_with_seed ((guint32) options.seed + 1000000);
   backend_start ((guint) options.net, options.program, dir, (guint32) options.seed, &o);
   GPtrArray *faults = draw_schedule (options.seconds - CALM_S);
-  world_later (QUIET_S / 2, submit_job, NULL);
+  schedule_after (QUIET_S / 2, submit_job, NULL);
   sim_run (options.seconds - CALM_S / 2); /* the last troubles are over, or nearly so, by then */
-  sim_calm ();
+  sim_faults_over ();
   wait_for_work ();
   backend_check_logs ();
   backend_stop ();
-  if (sim_started () < LEAST_STARTS_S * options.seconds)
-    world_broken ("only %u tasks were started", sim_started ());
-  gboolean ok = *sim_broken () == 0;
+  if (sim_tasks_started () < LEAST_STARTS_S * options.seconds)
+    record_violation ("only %u tasks were started", sim_tasks_started ());
+  gboolean ok = *sim_violations () == 0;
   printf ("seed %d: %s, %u jobs, %u tasks started, %u machines rented, %.0f s, logs in %s\n",
-          options.seed, ok ? "passed" : "FAILED", submitted, sim_started (), world.next_machine,
-          sim_now (), dir);
+          options.seed, ok ? "passed" : "FAILED", submitted, sim_tasks_started (),
+          fakes.next_machine, sim_now (), dir);
   if (!ok) {
-    printf ("%s", sim_broken ());
+    printf ("%s", sim_violations ());
     print_schedule (faults);
   }
   return ok ? 0 : 1;
@@ -645,7 +646,7 @@
   g_option_context_add_main_entries (context, entries, NULL);
   if (!g_option_context_parse (context, &argc, &argv, &error) || !options.program ||
       options.seconds < 60 || options.workers < 1 || options.nodes < 1 ||
-      options.nodes > WORLD_MAX_NODES || options.kinds < 1 ||
+      options.nodes > SIM_MAX_NODES || options.kinds < 1 ||
       options.kinds > (gint) G_N_ELEMENTS (kinds) || options.jobs < 1 || options.runs < 1) {
     fprintf (stderr, "soak: %s\n", error ? error->message : "see --help; --program is required");
     return 2;
--- a/tests/test_shares.c
+++ b/tests/test_allocation.c
@@ -1,18 +1,18 @@
 /* Shares against a slow plain model, on random inputs; GTest prints the seed. */
-#include "shares.h"
+#include "allocation.h"
 #include <math.h>
 
 /* Pours the supply out in drops, each to the emptiest part that still wants. */
 static void
-model_targets (const double *demand, guint parts, double supply, double *targets)
+model_targets (const double *demand, guint shards, double supply, double *targets)
 {
   const double drop = 0.01;
   guint drops = (guint) ceil (supply / drop);
-  for (guint p = 0; p < parts; p++)
+  for (guint p = 0; p < shards; p++)
     targets[p] = 0;
   for (; drops > 0; drops--) {
     gint least = -1;
-    for (guint p = 0; p < parts; p++)
+    for (guint p = 0; p < shards; p++)
       if (targets[p] + drop <= demand[p] && (least < 0 || targets[p] < targets[least]))
         least = (gint) p;
     if (least < 0)
@@ -25,37 +25,37 @@
 test_targets (void)
 {
   for (guint i = 0; i < 300; i++) {
-    guint parts = (guint) g_test_rand_int_range (1, 7);
+    guint shards = (guint) g_test_rand_int_range (1, 7);
     double demand[7], got[7], want[7], supply = g_test_rand_double_range (0, 100);
-    for (guint p = 0; p < parts; p++)
+    for (guint p = 0; p < shards; p++)
       demand[p] = g_test_rand_bit () ? 0 : g_test_rand_double_range (0, 60);
-    kr_shares_targets (demand, parts, supply, got);
-    model_targets (demand, parts, supply, want);
-    for (guint p = 0; p < parts; p++)
+    kr_allocation_max_min (demand, shards, supply, got);
+    model_targets (demand, shards, supply, want);
+    for (guint p = 0; p < shards; p++)
       g_assert_cmpfloat (fabs (got[p] - want[p]), <, 0.05);
   }
 }
 
-static KrNeed *
-need (guint part, double cpus, double slots, gboolean spot)
+static KrDemand *
+need (guint shard, double cpus, double slots, gboolean spot)
 {
-  KrNeed *n = g_new0 (KrNeed, 1);
-  n->part = part;
-  n->slots = n->most = slots;
-  n->shape = g_new0 (KrSpec, 1);
-  n->shape->cpus = cpus;
-  n->shape->spot = spot;
+  KrDemand *n = g_new0 (KrDemand, 1);
+  n->shard = shard;
+  n->goal_slots = n->max_slots = slots;
+  n->requirements = g_new0 (KrJobSpec, 1);
+  n->requirements->cpus = cpus;
+  n->requirements->spot_allowed = spot;
   return n;
 }
 
 static KrSupply *
-supply (const char *id, const KrType *type, gint part, gboolean spot)
+supply (const char *id, const KrMachineType *type, gint shard, gboolean spot)
 {
   KrSupply *s = g_new0 (KrSupply, 1);
   s->id = g_strdup (id);
   s->type = type;
   s->zone = "z";
-  s->part = part;
+  s->shard = shard;
   s->spot = spot;
   return s;
 }
@@ -64,8 +64,8 @@
 static void
 test_match (void)
 {
-  const KrType t = { .name = (char *) "t", .cpus = 8, .mem_gb = 64 };
-  g_autoptr (GPtrArray) needs = g_ptr_array_new_with_free_func (kr_need_free);
+  const KrMachineType t = { .name = (char *) "t", .cpus = 8, .mem_gb = 64 };
+  g_autoptr (GPtrArray) needs = g_ptr_array_new_with_free_func (kr_demand_free);
   g_autoptr (GPtrArray) all = g_ptr_array_new_with_free_func (kr_supply_free);
   g_ptr_array_add (needs, need (0, 1, 8, TRUE));
   g_ptr_array_add (needs, need (1, 4, 3, FALSE));
@@ -74,12 +74,12 @@
   g_ptr_array_add (all, ordinary);
   g_ptr_array_add (all, spot);
   g_ptr_array_add (all, idle);
-  kr_shares_match (needs, all, FALSE);
-  g_assert_cmpfloat (((KrNeed *) needs->pdata[0])->unmet, ==, 0);
-  g_assert_cmpfloat (((KrNeed *) needs->pdata[1])->unmet, ==, 1);
-  g_assert_cmpfloat (spot->left, <, 1e-6);
-  g_assert_cmpfloat (ordinary->left, <, 1e-6); /* two of the three */
-  g_assert_cmpfloat (idle->left, ==, 1);
+  kr_allocation_match (needs, all, FALSE);
+  g_assert_cmpfloat (((KrDemand *) needs->pdata[0])->unmet_slots, ==, 0);
+  g_assert_cmpfloat (((KrDemand *) needs->pdata[1])->unmet_slots, ==, 1);
+  g_assert_cmpfloat (spot->unused, <, 1e-6);
+  g_assert_cmpfloat (ordinary->unused, <, 1e-6); /* two of the three */
+  g_assert_cmpfloat (idle->unused, ==, 1);
 }
 
 /* Urgent work first, then the goals, and what is over goes to work that could run but need not yet;
@@ -87,24 +87,24 @@
 static void
 test_of_parts (void)
 {
-  KrType t = { .name = (char *) "t", .cpus = 8, .mem_gb = 64 };
+  KrMachineType t = { .name = (char *) "t", .cpus = 8, .mem_gb = 64 };
   g_autoptr (GPtrArray) types = g_ptr_array_new ();
-  g_autoptr (GPtrArray) needs = g_ptr_array_new_with_free_func (kr_need_free);
+  g_autoptr (GPtrArray) needs = g_ptr_array_new_with_free_func (kr_demand_free);
   g_autoptr (GPtrArray) all = g_ptr_array_new_with_free_func (kr_supply_free);
   double targets[3];
   g_ptr_array_add (types, &t);
-  KrNeed *urgent = need (0, 1, 10, TRUE), *paced = need (1, 1, 4, TRUE),
-         *small = need (2, 1, 6, TRUE);
+  KrDemand *urgent = need (0, 1, 10, TRUE), *paced = need (1, 1, 4, TRUE),
+           *small = need (2, 1, 6, TRUE);
   urgent->urgent = TRUE;
-  paced->most = 100;
+  paced->max_slots = 100;
   g_ptr_array_add (needs, urgent);
   g_ptr_array_add (needs, paced);
   g_ptr_array_add (needs, small);
-  kr_shares_of_parts (needs, types, 3, 14, targets);
+  kr_allocation_shard_targets (needs, types, 3, 14, targets);
   g_assert_cmpfloat (targets[0], ==, 10);
   g_assert_cmpfloat (targets[1], ==, 2);
   g_assert_cmpfloat (targets[2], ==, 2);
-  kr_shares_of_parts (needs, types, 3, 64, targets);
+  kr_allocation_shard_targets (needs, types, 3, 64, targets);
   g_assert_cmpfloat (targets[0], ==, 10);
   g_assert_cmpfloat (targets[1], ==, 48);
   g_assert_cmpfloat (targets[2], ==, 6);
@@ -112,10 +112,10 @@
     g_autofree char *id = g_strdup_printf ("m%u", i);
     g_ptr_array_add (all, supply (id, &t, 1, TRUE));
   }
-  kr_shares_match (needs, all, TRUE);
-  g_assert_cmpfloat (((KrSupply *) all->pdata[3])->left, <, 1e-6);
-  kr_shares_match (needs, all, FALSE);
-  g_assert_cmpfloat (((KrSupply *) all->pdata[3])->left, >, 0.5);
+  kr_allocation_match (needs, all, TRUE);
+  g_assert_cmpfloat (((KrSupply *) all->pdata[3])->unused, <, 1e-6);
+  kr_allocation_match (needs, all, FALSE);
+  g_assert_cmpfloat (((KrSupply *) all->pdata[3])->unused, >, 0.5);
 }
 
 int
--- a/tests/test_budget.c
+++ b/tests/test_budget.c
@@ -7,7 +7,7 @@
 static gboolean
 is_late (double base, double backlog)
 {
-  return backlog > base * KR_BUDGET_LATE_S;
+  return backlog > base * KR_BUDGET_BACKLOG_S;
 }
 
 static void
--- a/tests/test_calls.c
+++ b/tests/test_calls.c
@@ -13,7 +13,7 @@
  * the end of the idle time are lost without any block (/calls/idle-end). */
 #include "constants.h"
 #include "http-client.h"
-#include "state.h"
+#include "state-client.h"
 #include <dlfcn.h>
 #include <libsoup/soup.h>
 #include <string.h>
@@ -163,12 +163,12 @@
 }
 
 static void
-call (KrClient *client, const Peer *peer, const char *path, double deadline_s, GCancellable *cancel,
-      Outcome *outcome)
+call (KrHttpClient *client, const Peer *peer, const char *path, double deadline_s,
+      GCancellable *cancel, Outcome *outcome)
 {
   outcome->begun = g_get_monotonic_time ();
-  kr_client_call (client, "GET", peer->host, path, NULL, (guint) (deadline_s * 1000), cancel, ended,
-                  outcome);
+  kr_http_client_call (client, "GET", peer->host, path, NULL, (guint) (deadline_s * 1000), cancel,
+                       ended, outcome);
 }
 
 static gboolean
@@ -202,7 +202,7 @@
   Peer *peer;
   CancelMoment moment;
   gboolean full; /* all connections are in use */
-  KrClient *client;
+  KrHttpClient *client;
   GCancellable *cancel;
   Outcome idle[IDLE_CONNS], held[CONNS], renewal, call, later;
 } Scene;
@@ -261,7 +261,7 @@
 {
   for (guint i = 0; i < blocked->count; i++) {
     Scene *scene = &blocked->scenes[i];
-    scene->client = kr_client_new (CONNS, CONNS, IDLE_S);
+    scene->client = kr_http_client_new (CONNS, CONNS, IDLE_S);
     scene->cancel = g_cancellable_new ();
     for (guint c = 0; c < IDLE_CONNS; c++)
       call (scene->client, scene->peer, "/idle", DEADLINE_S, NULL, &scene->idle[c]);
@@ -336,7 +336,7 @@
 #define RACE_SPAN_S 0.006
 
 typedef struct {
-  KrClient *client;
+  KrHttpClient *client;
   const Peer *peer;
   gint64 due; /* monotonic us */
   Outcome first, second;
@@ -377,7 +377,7 @@
   for (guint i = 0; i < RACERS; i++) {
     guint kind = i % G_N_ELEMENTS (kinds);
     racers[i].peer = peer;
-    racers[i].client = kr_client_new (kinds[kind].conns, kinds[kind].per_host, IDLE_S);
+    racers[i].client = kr_http_client_new (kinds[kind].conns, kinds[kind].per_host, IDLE_S);
     racer_start (&racers[i], priorities[i % G_N_ELEMENTS (priorities)],
                  RACE_SPAN_S * i / RACERS - RACE_EARLY_S);
     run_for (0.004); /* their moments lie apart */
@@ -386,7 +386,7 @@
   for (guint i = 0; i < RACERS; i++) {
     assert_ended_in_time (&racers[i].second);
     g_assert_cmpuint (racers[i].second.status, ==, 200);
-    kr_client_free (racers[i].client);
+    kr_http_client_free (racers[i].client);
   }
 }
 
@@ -395,7 +395,7 @@
 test_unused_closed (void)
 {
   Peer *peer = peer_new (PEER_KEEPS);
-  KrClient *client = kr_client_new (CONNS, CONNS, IDLE_S);
+  KrHttpClient *client = kr_http_client_new (CONNS, CONNS, IDLE_S);
   Outcome outcomes[IDLE_CONNS] = { 0 }, watch = { 0 };
   for (guint c = 0; c < IDLE_CONNS; c++)
     call (client, peer, "/renewal", DEADLINE_S, NULL, &outcomes[c]);
@@ -410,7 +410,7 @@
   g_assert_cmpuint (watch.ends, ==, 1);
   g_assert_cmpint (g_atomic_int_get (&peer->connections), <=,
                    1); /* the held one: it reads nothing */
-  kr_client_free (client);
+  kr_http_client_free (client);
 }
 
 /* --- a library that does not report the end ------------------------------------------------ */
@@ -449,9 +449,9 @@
 test_never_reported (void)
 {
   Peer *peer = peer_new (PEER_KEEPS);
-  KrClient *client = kr_client_new (CONNS, CONNS, IDLE_S);
+  KrHttpClient *client = kr_http_client_new (CONNS, CONNS, IDLE_S);
   Outcome lost[CONNS] = { 0 }, waiting = { 0 }, later[2 * CONNS] = { 0 };
-  guint before = kr_calls_lost ();
+  guint before = kr_http_client_lost_calls ();
   swallowed = g_ptr_array_new_with_free_func (g_free);
   for (guint c = 0; c < CONNS; c++)
     call (client, peer, "/store", DEADLINE_S, NULL, &lost[c]);
@@ -464,8 +464,8 @@
   }
   assert_ended_in_time (&waiting); /* there is no connection for it yet */
   g_assert_cmpuint (waiting.status, ==, 0);
-  run_for (KR_CALL_LOST_MS / 1000.0);
-  g_assert_cmpuint (kr_calls_lost () - before, ==, CONNS);
+  run_for (KR_CALL_LOST_TIMEOUT_MS / 1000.0);
+  g_assert_cmpuint (kr_http_client_lost_calls () - before, ==, CONNS);
   for (guint c = 0; c < 2 * CONNS; c++)
     call (client, peer, "/store", DEADLINE_S, NULL, &later[c]);
   run_for (DEADLINE_S + LATE_S);
@@ -482,7 +482,7 @@
   run_for (LATE_S);
   for (guint c = 0; c < CONNS; c++)
     g_assert_cmpuint (lost[c].ends, ==, 1);
-  kr_client_free (client);
+  kr_http_client_free (client);
 }
 
 /* --- a call that waits for our own rate limit ----------------------------------------------- */
@@ -490,7 +490,7 @@
 #define BUSY_CALLS 40 /* made at twice that rate */
 
 typedef struct {
-  KrState *state;
+  KrStateClient *state;
   guint made;
   Outcome outcomes[BUSY_CALLS];
 } BusyState;
@@ -501,7 +501,8 @@
   BusyState *busy = data;
   Outcome *outcome = &busy->outcomes[busy->made++];
   outcome->begun = g_get_monotonic_time ();
-  kr_state_get (busy->state, "job/wk-000001", KR_NORMAL, KR_STATE_TIMEOUT_MS, NULL, ended, outcome);
+  kr_state_get (busy->state, "job/wk-000001", KR_QUEUE_NORMAL, KR_STATE_TIMEOUT_MS, NULL, ended,
+                outcome);
   return busy->made < BUSY_CALLS ? G_SOURCE_CONTINUE : G_SOURCE_REMOVE;
 }
 
@@ -512,7 +513,7 @@
 {
   const Peer *peer = peer_new (PEER_KEEPS);
   const KrSettings settings = {
-    .state = peer->host, .size = 1, .state_rps = LIMIT_RPS, .state_write_rps = LIMIT_RPS
+    .state = peer->host, .shard_count = 1, .state_rps = LIMIT_RPS, .state_write_rps = LIMIT_RPS
   };
   g_autofree BusyState *busy = g_new0 (BusyState, 1);
   Outcome question = { 0 };
@@ -520,8 +521,8 @@
   g_timeout_add ((guint) (500 / LIMIT_RPS), make_busy_call, busy);
   run_for (1);
   question.begun = g_get_monotonic_time ();
-  kr_state_get (busy->state, "job/wk-000002", KR_LAST, (guint) (DEADLINE_S * 1000), NULL, ended,
-                &question);
+  kr_state_get (busy->state, "job/wk-000002", KR_QUEUE_LOW, (guint) (DEADLINE_S * 1000), NULL,
+                ended, &question);
   run_for (DEADLINE_S + LATE_S);
   assert_ended_in_time (&question);
   g_assert_cmpuint (question.status, ==, 429); /* not sent */
@@ -537,7 +538,7 @@
 #define RANDOM_S 2.5    /* in which they are made and cancelled */
 
 typedef struct {
-  KrClient *client;
+  KrHttpClient *client;
   const Peer *peer;
   const char *path;
   double deadline_s;
@@ -568,7 +569,7 @@
 }
 
 static void
-plan_random_call (RandomCall *made, KrClient *client, Peer *const *peers)
+plan_random_call (RandomCall *made, KrHttpClient *client, Peer *const *peers)
 {
   static const char *const paths[] = { "/store", "/renewal", "/held" };
   *made = (RandomCall){ client,
@@ -595,13 +596,13 @@
 test_random (void)
 {
   static RandomCall made[RANDOM_CLIENTS][RANDOM_CALLS];
-  guint before = kr_calls_lost ();
-  KrClient *clients[RANDOM_CLIENTS];
+  guint before = kr_http_client_lost_calls ();
+  KrHttpClient *clients[RANDOM_CLIENTS];
   Peer *peers[PEER_KINDS];
   for (guint kind = 0; kind < PEER_KINDS; kind++)
     peers[kind] = peer_new (kind);
   for (guint i = 0; i < RANDOM_CLIENTS; i++) {
-    clients[i] = kr_client_new (2 + i, 1 + i, IDLE_S);
+    clients[i] = kr_http_client_new (2 + i, 1 + i, IDLE_S);
     for (guint c = 0; c < RANDOM_CALLS; c++)
       plan_random_call (&made[i][c], clients[i], peers);
   }
@@ -613,9 +614,9 @@
       assert_ended_in_time (&made[i][c].outcome);
       g_object_unref (made[i][c].cancel);
     }
-    kr_client_free (clients[i]);
+    kr_http_client_free (clients[i]);
   }
-  g_assert_cmpuint (kr_calls_lost () - before, ==, 0);
+  g_assert_cmpuint (kr_http_client_lost_calls () - before, ==, 0);
 }
 
 int
--- a/tests/test_clock.c
+++ b/tests/test_clock.c
@@ -40,7 +40,7 @@
 {
   order = g_string_new (NULL);
   loop = g_main_loop_new (NULL, FALSE);
-  kr_stall_watch (1000, stood_still, NULL);
+  kr_stall_detector_add (1000, stood_still, NULL);
   for (guint ms = 50; ms <= 4000; ms += 50) /* as a node's duties do */
     kr_timer_add (ms, note, (gpointer) "");
   kr_timer_add (500, stand, NULL);
--- a/tests/test_double_start.c
+++ b/tests/test_double_start.c
@@ -1,6 +1,6 @@
 /* Ways in which one task could come to be on two machines at once, each brought about on purpose:
  * whole nodes in simulated time, with stand-ins that watch every rule. */
-#include "scenes.h"
+#include "fixture.h"
 
 /* A report is still on its way when the machine's answer to a direct command, which is newer,
  * arrives: the report tells nothing new, but its answer renews the machine's lease. The machine
@@ -8,10 +8,10 @@
 static void
 overtaken_report (void)
 {
-  SimOptions o = usual;
+  SimOptions o = default_options;
   o.report_s = 6;
   o.lease_s = 20;
-  begin (&o);
+  start_cluster (&o);
   sim_submit ("wk-000001", "team0", "normal", 1, 2, 150, 600);
   sim_submit ("wk-000002", "team0", "normal", 1, 1, 150, 600); /* its end is the command */
   sim_run (25);
@@ -19,16 +19,16 @@
   sim_run (30);
   const char *machine = sim_machine_of ("wk-000002");
   g_assert_cmpstr (machine, ==, sim_machine_of ("wk-000001"));
-  while (sim_report_under_way (machine))
+  while (sim_report_in_flight (machine))
     sim_run (0.02);
-  sim_delay_report (machine, 1.5);
-  while (!sim_report_under_way (machine))
+  sim_delay_next_report (machine, 1.5);
+  while (!sim_report_in_flight (machine))
     sim_run (0.02);
-  sim_machine_mute (machine, TRUE);
-  sim_abort ("wk-000002");
+  sim_machine_stop_reports (machine, TRUE);
+  sim_cancel ("wk-000002");
   sim_run (35);
-  sim_machine_mute (machine, FALSE);
-  finish (400);
+  sim_machine_stop_reports (machine, FALSE);
+  finish_and_check (400);
 }
 
 static void
@@ -43,21 +43,21 @@
 static void
 late_assignment (void)
 {
-  SimOptions o = usual;
+  SimOptions o = default_options;
   o.machine_cpus = 1;
-  o.machines = 110; /* more than one chunk of a part's record */
-  begin (&o);
+  o.max_machines = 110; /* more than one chunk of a part's record */
+  start_cluster (&o);
   sim_submit ("wk-000002", "team1", "normal", 64, 1, 150, 600);
   sim_submit ("wk-000004", "team1", "normal", 12, 1, 150, 600);
   sim_run (30);
   sim_hold_commits ("c/berths/0/", 1, 25);
   sim_submit ("wk-000001", "team0", "urgent", 8, 1, 60, 600);
-  while (sim_commits_to_hold ())
+  while (sim_commits_left_to_hold ())
     sim_run (0.1);
-  sim_abort ("wk-000001");
+  sim_cancel ("wk-000001");
   sim_submit ("wk-000003", "team1", "urgent", 8, 1, 60, 600);
   sim_run (22);
-  sim_abort ("wk-000004"); /* room for another copy of what a part takes for gone */
+  sim_cancel ("wk-000004"); /* room for another copy of what a part takes for gone */
   sim_run (1.5);
   for (guint i = 0; i < 6; i++) { /* each changes the second part's record */
     g_autofree char *id = g_strdup_printf ("wk-00001%u", i);
@@ -65,7 +65,7 @@
     sim_run (0.7);
   }
   sim_run (60);
-  finish (400);
+  finish_and_check (400);
 }
 
 static void
@@ -77,7 +77,7 @@
 int
 main (int argc, char **argv)
 {
-  scenes_init (&argc, &argv);
+  fixture_init (&argc, &argv);
   g_test_add_func ("/double-start/overtaken-report", test_overtaken_report);
   g_test_add_func ("/double-start/late-assignment", test_late_assignment);
   return g_test_run ();
--- a/tests/test_http.c
+++ b/tests/test_http.c
@@ -8,7 +8,7 @@
 #include <time.h>
 
 static GMainLoop *loop;
-static KrServer *server;
+static KrHttpServer *server;
 static guint16 port;
 static guint handled;
 
@@ -101,7 +101,7 @@
 static void
 test_large (void)
 {
-  gsize n = KR_BODY_MAX + 1;
+  gsize n = KR_BODY_MAX_BYTES + 1;
   g_autofree char *body = g_malloc (n);
   guint before = handled;
   memset (body, ' ', n);
@@ -109,7 +109,7 @@
   g_assert_cmpuint (handled, ==, before);
   body[0] = '{';
   body[1] = '}';
-  g_assert_cmpuint (post (body, KR_BODY_MAX, NULL), ==, 200);
+  g_assert_cmpuint (post (body, KR_BODY_MAX_BYTES, NULL), ==, 200);
 }
 
 /* A body of untold length is cut off at the limit: it never counts as a whole one. */
@@ -207,16 +207,16 @@
 static double
 cost_of_calls (guint count, guint16 at)
 {
-  KrClient *client = kr_client_new (32, 2, 15);
+  KrHttpClient *client = kr_http_client_new (32, 2, 15);
   double before = thread_cpu_s ();
   calls_left = count;
   for (guint i = 0; i < count; i++) {
     g_autofree char *host = g_strdup_printf ("127.1.%u.%u:%u", i / 250, 1 + i % 250, at);
-    kr_client_call (client, "GET", host, "/show", NULL, 300, NULL, call_over, NULL);
+    kr_http_client_call (client, "GET", host, "/show", NULL, 300, NULL, call_over, NULL);
   }
   g_main_loop_run (loop);
   double cost = (thread_cpu_s () - before) / count;
-  kr_client_free (client);
+  kr_http_client_free (client);
   return cost;
 }
 
@@ -245,7 +245,7 @@
   loop = g_main_loop_new (NULL, FALSE);
   port = free_port ();
   g_autofree char *address = g_strdup_printf ("127.0.0.1:%u", port);
-  server = kr_server_new (address, 8, 30, NULL, handler, NULL, &error);
+  server = kr_http_server_new (address, 8, 30, NULL, handler, NULL, &error);
   g_assert_no_error (error);
   g_test_add_func ("/http/good", test_good);
   g_test_add_func ("/http/large", test_large);
--- a/tests/test_liveness.c
+++ b/tests/test_liveness.c
@@ -3,7 +3,7 @@
  * What was seen: an owner that was frozen while the state service was out again and again kept its
  * lease, went on, and never served its part again: its first read of who owns what had no end
  * (test_calls.c tells how), and everything that follows waited for that end. */
-#include "scenes.h"
+#include "fixture.h"
 #include <math.h>
 
 #define OUTAGE_S 1.2
@@ -43,21 +43,21 @@
 static void
 freeze_beside_flaps (guint node, double every_s, double for_s)
 {
-  sim_node_hang (node, TRUE);
+  sim_node_pause (node, TRUE);
   flap (every_s, for_s);
 }
 
 static void
 go_on (guint node)
 {
-  sim_node_hang (node, FALSE);
+  sim_node_pause (node, FALSE);
 }
 
 static void
 begin_with_work (void)
 {
-  begin (&usual);
-  submit_some (12, 20);
+  start_cluster (&default_options);
+  submit_jobs (12, 20);
   sim_run (10);
 }
 
@@ -67,12 +67,12 @@
 {
   begin_with_work ();
   freeze_beside_flaps (0, FLAP_S, FROZEN_S);
-  g_assert_cmpint (sim_owner (0), ==, 0); /* nobody else has taken its part */
-  sim_lose_reads (0, 1);
+  g_assert_cmpint (sim_shard_owner (0), ==, 0); /* nobody else has taken its part */
+  sim_drop_range_reads (0, 1);
   go_on (0);
   sim_run (20);
   g_assert_cmpuint (sim_request (0, "GET", "/ready", NULL), ==, 200);
-  finish (400);
+  finish_and_check (400);
 }
 
 static void
@@ -87,13 +87,13 @@
 {
   begin_with_work ();
   freeze_beside_flaps (0, FLAP_S, FROZEN_S);
-  sim_state_refuse_reads (0, TRUE);
+  sim_state_refuse_range_reads (0, TRUE);
   go_on (0);
   sim_run (27); /* 15 s without a read, a lease of 6 s, and those who are due look in turn */
-  g_assert_cmpint (sim_owner (0), >, 0);
+  g_assert_cmpint (sim_shard_owner (0), >, 0);
   sim_run (20);
-  sim_state_refuse_reads (0, FALSE);
-  finish (400);
+  sim_state_refuse_range_reads (0, FALSE);
+  finish_and_check (400);
 }
 
 static void
@@ -106,9 +106,9 @@
 frozen_owner (double frozen_s, double every_s, gboolean two, gboolean again)
 {
   begin_with_work ();
-  sim_abort ("wk-000001");
+  sim_cancel ("wk-000001");
   if (two)
-    sim_node_hang (1, TRUE);
+    sim_node_pause (1, TRUE);
   freeze_beside_flaps (0, every_s, frozen_s);
   go_on (0);
   go_on (1);
@@ -117,7 +117,7 @@
     freeze_beside_flaps (0, every_s, frozen_s);
     go_on (0);
   }
-  finish (400);
+  finish_and_check (400);
 }
 
 /* Frozen for less and for longer than the lease, the state service out at several rates, two
@@ -144,7 +144,7 @@
 static gboolean
 another_owns (void)
 {
-  return sim_owner (0) > 0;
+  return sim_shard_owner (0) > 0;
 }
 
 /* Seconds until another node holds part 0 after its owner was frozen or ended, beside a state
@@ -157,12 +157,12 @@
   if (ended)
     sim_node_kill (0);
   else
-    sim_node_hang (0, TRUE);
+    sim_node_pause (0, TRUE);
   flap_until (every_s, FLAPS_AT_MOST_S, another_owns);
   double unowned_s = sim_now () - gone_at;
   g_test_message ("state service out every %.1f s, owner %s: %.1f s without an owner, %s", every_s,
                   ended ? "ended" : "frozen", unowned_s,
-                  sim_owner (0) == 0 ? "then still none" : "then another");
+                  sim_shard_owner (0) == 0 ? "then still none" : "then another");
   sim_stop ();
   return unowned_s;
 }
@@ -183,7 +183,7 @@
 static gboolean
 first_lost_its_part (void)
 {
-  return sim_owner (0) != 0;
+  return sim_shard_owner (0) != 0;
 }
 
 /* Healthy nodes that do not reach each other, with a watch that is 3 s late: none is taken for
@@ -193,19 +193,19 @@
 healthy_unreached (double every_s, gboolean one_way)
 {
   begin_with_work ();
-  guint requests = sim_state_requests ();
-  sim_node_refuse_peers (0, one_way);
+  guint requests = sim_state_request_count ();
+  sim_node_drop_peer_requests (0, one_way);
   if (!one_way)
-    cut_peers (SIM_DROP);
-  sim_watches_slow (one_way ? 1 : 3);
+    set_peer_links (SIM_LINK_DROP);
+  sim_watch_delay (one_way ? 1 : 3);
   flap_until (every_s, FLAPS_AT_MOST_S, first_lost_its_part);
   g_assert_false (first_lost_its_part ()); /* at no moment, though it may renew its token */
-  g_assert_cmpuint (sim_leases_ended (), ==, 0);
-  g_assert_cmpfloat ((sim_state_requests () - requests) / FLAPS_AT_MOST_S, <, STATE_RPS);
-  sim_watches_slow (0);
-  cut_peers (SIM_OPEN);
-  sim_node_refuse_peers (0, FALSE);
-  finish (400);
+  g_assert_cmpuint (sim_leases_revoked (), ==, 0);
+  g_assert_cmpfloat ((sim_state_request_count () - requests) / FLAPS_AT_MOST_S, <, STATE_RPS);
+  sim_watch_delay (0);
+  set_peer_links (SIM_LINK_UP);
+  sim_node_drop_peer_requests (0, FALSE);
+  finish_and_check (400);
 }
 
 static void
@@ -224,18 +224,18 @@
 long_outages (double first_up_s)
 {
   begin_with_work ();
-  sim_node_refuse_peers (0, TRUE);
-  sim_watches_slow (0.4);
+  sim_node_drop_peer_requests (0, TRUE);
+  sim_watch_delay (0.4);
   for (guint i = 0; i < 12; i++) {
     sim_state_outage (TRUE);
     sim_run (LONG_OUTAGE_S);
     sim_state_outage (FALSE);
     sim_run (first_up_s + 0.2 * i);
   }
-  g_assert_cmpuint (sim_leases_ended (), ==, 0);
-  sim_watches_slow (0);
-  sim_node_refuse_peers (0, FALSE);
-  finish (400);
+  g_assert_cmpuint (sim_leases_revoked (), ==, 0);
+  sim_watch_delay (0);
+  sim_node_drop_peer_requests (0, FALSE);
+  finish_and_check (400);
 }
 
 static void
@@ -254,8 +254,8 @@
     go_on (0);
     flap (every_s, 3);
   }
-  g_assert_cmpuint (sim_leases_ended (), ==, 0);
-  finish (400);
+  g_assert_cmpuint (sim_leases_revoked (), ==, 0);
+  finish_and_check (400);
 }
 
 /* A node that stands still for less than its lease, again and again, keeps its lease (it may hand
@@ -279,13 +279,13 @@
                                         "null" };
   for (guint i = 0; i < G_N_ELEMENTS (values); i++) {
     begin_with_work ();
-    sim_node_hang (0, TRUE);
+    sim_node_pause (0, TRUE);
     sim_state_put ("c/node/berth-0", values[i]);
     flap (FLAP_S, 30);
-    g_assert_cmpuint (sim_leases_ended (), ==, 0);
-    g_assert_cmpint (sim_owner (0), ==, 0);
+    g_assert_cmpuint (sim_leases_revoked (), ==, 0);
+    g_assert_cmpint (sim_shard_owner (0), ==, 0);
     go_on (0);
-    finish (400);
+    finish_and_check (400);
   }
 }
 
@@ -295,19 +295,19 @@
 {
   begin_with_work ();
   double gone_at = sim_now ();
-  sim_node_hang (0, TRUE);
+  sim_node_pause (0, TRUE);
   flap (FLAP_S, 5);
-  crash (1, 4);
+  crash_and_restart (1, 4);
   flap_until (FLAP_S, FLAPS_AT_MOST_S, another_owns);
   g_assert_cmpfloat (sim_now () - gone_at, <=, OPEN_ELSEWHERE_S);
   go_on (0);
-  finish (400);
+  finish_and_check (400);
 }
 
 int
 main (int argc, char **argv)
 {
-  scenes_init (&argc, &argv);
+  fixture_init (&argc, &argv);
   g_test_add_func ("/liveness/read-without-end", test_read_without_end);
   g_test_add_func ("/liveness/reads-refused", test_reads_refused);
   g_test_add_func ("/liveness/frozen-owner", test_frozen_owner);
--- a/tests/test_agent.c
+++ b/tests/test_machine.c
@@ -1,5 +1,5 @@
 /* What may be believed of a machine's reports, and when; and the durable form of jobs. */
-#include "agent.h"
+#include "machine.h"
 #include "constants.h"
 #include <math.h>
 #include <string.h>
@@ -7,14 +7,14 @@
 static guint gone, news, exits;
 
 static void
-saw (KrMachine *b, KrLaunch *l, KrSaw what, gpointer data)
+saw (KrMachine *b, KrAttempt *l, KrAttemptEvent what, gpointer data)
 {
-  gone += what == KR_SAW_GONE;
-  news += what == KR_SAW_NEW;
-  exits += what == KR_SAW_EXITED;
+  gone += what == KR_ATTEMPT_GONE;
+  news += what == KR_ATTEMPT_DISCOVERED;
+  exits += what == KR_ATTEMPT_EXITED;
 }
 
-static KrNews
+static KrReportFreshness
 take (KrMachine *b, guint64 session, guint64 seq, gboolean beat, guint tasks, KrTaskState state)
 {
   KrReport r = { .machine = b->id,
@@ -24,13 +24,13 @@
                  .session = session,
                  .seq = seq,
                  .token = 7,
-                 .notice_s = NAN };
+                 .reclaim_notice_s = NAN };
   r.tasks = g_array_new (FALSE, TRUE, sizeof (KrTaskReport));
   for (guint i = 0; i < tasks; i++) {
-    KrTaskReport t = { (char *) "wk-1", i, 100 + i, state, KR_WHY_DONE };
+    KrTaskReport t = { (char *) "wk-1", i, 100 + i, state, KR_EXIT_DONE };
     g_array_append_val (r.tasks, t);
   }
-  KrNews taken = kr_machine_apply (b, &r, beat, 7, 1000000, saw, NULL);
+  KrReportFreshness taken = kr_machine_apply_report (b, &r, beat, 7, 1000000, saw, NULL);
   g_array_unref (r.tasks);
   return taken;
 }
@@ -49,10 +49,10 @@
 {
   KrMachine *b = fresh ();
   take (b, 1, 5, TRUE, 0, 0);
-  kr_machine_launch (b, "wk-1", 0, 100)->doubt_seq = 5;
+  kr_machine_add_attempt (b, "wk-1", 0, 100)->sent_after_seq = 5;
   take (b, 1, 6, FALSE, 0, 0);
   g_assert_cmpuint (gone, ==, 0);
-  g_assert_cmpuint (kr_machine_busy (b), ==, 1);
+  g_assert_cmpuint (kr_machine_count_unfinished (b), ==, 1);
   take (b, 1, 7, TRUE, 0, 0);
   g_assert_cmpuint (gone, ==, 1);
   kr_machine_free (b);
@@ -63,15 +63,15 @@
 test_stale (void)
 {
   KrMachine *b = fresh ();
-  g_assert_cmpint (take (b, 1, 5, TRUE, 2, KR_TASK_RUNNING), ==, KR_NEWS_FRESH);
-  g_assert_cmpint (take (b, 1, 4, TRUE, 0, 0), ==, KR_NEWS_COPY);
-  g_assert_cmpint (take (b, 1, 5, TRUE, 0, 0), ==, KR_NEWS_COPY);
+  g_assert_cmpint (take (b, 1, 5, TRUE, 2, KR_TASK_RUNNING), ==, KR_REPORT_FRESH);
+  g_assert_cmpint (take (b, 1, 4, TRUE, 0, 0), ==, KR_REPORT_STALE);
+  g_assert_cmpint (take (b, 1, 5, TRUE, 0, 0), ==, KR_REPORT_STALE);
   g_assert_cmpuint (gone, ==, 0);
   /* A new session: its lease ran out. */
-  g_assert_cmpint (take (b, 2, 1, TRUE, 0, 0), ==, KR_NEWS_FRESH);
+  g_assert_cmpint (take (b, 2, 1, TRUE, 0, 0), ==, KR_REPORT_FRESH);
   g_assert_cmpuint (gone, ==, 2);
-  g_assert_cmpint (take (b, 1, 9, TRUE, 2, KR_TASK_RUNNING), ==, KR_NEWS_COPY);
-  g_assert_cmpuint (kr_machine_busy (b), ==, 0);
+  g_assert_cmpint (take (b, 1, 9, TRUE, 2, KR_TASK_RUNNING), ==, KR_REPORT_STALE);
+  g_assert_cmpuint (kr_machine_count_unfinished (b), ==, 0);
   kr_machine_free (b);
 }
 
@@ -81,17 +81,17 @@
 test_overtaken (void)
 {
   KrMachine *b = fresh ();
-  g_assert_cmpint (take (b, 1, 5, TRUE, 2, KR_TASK_RUNNING), ==, KR_NEWS_FRESH);
-  g_assert_cmpint (take (b, 1, 7, FALSE, 1, KR_TASK_RUNNING), ==, KR_NEWS_FRESH);
+  g_assert_cmpint (take (b, 1, 5, TRUE, 2, KR_TASK_RUNNING), ==, KR_REPORT_FRESH);
+  g_assert_cmpint (take (b, 1, 7, FALSE, 1, KR_TASK_RUNNING), ==, KR_REPORT_FRESH);
   g_assert_cmpuint (gone, ==, 1);
-  g_assert_cmpint (take (b, 1, 6, FALSE, 0, 0), ==, KR_NEWS_COPY); /* no worker waits for that */
-  g_assert_cmpint (take (b, 1, 6, TRUE, 0, 0), ==, KR_NEWS_OVERTAKEN);
+  g_assert_cmpint (take (b, 1, 6, FALSE, 0, 0), ==, KR_REPORT_STALE); /* no worker waits for that */
+  g_assert_cmpint (take (b, 1, 6, TRUE, 0, 0), ==, KR_REPORT_OVERTAKEN);
   g_assert_cmpuint (gone, ==, 1);
-  g_assert_cmpint (take (b, 1, 6, TRUE, 0, 0), ==, KR_NEWS_COPY);
-  g_assert_cmpint (take (b, 1, 5, TRUE, 2, KR_TASK_RUNNING), ==, KR_NEWS_COPY);
+  g_assert_cmpint (take (b, 1, 6, TRUE, 0, 0), ==, KR_REPORT_STALE);
+  g_assert_cmpint (take (b, 1, 5, TRUE, 2, KR_TASK_RUNNING), ==, KR_REPORT_STALE);
   /* The numbers of an earlier session say nothing about this one's. */
-  g_assert_cmpint (take (b, 2, 4, FALSE, 0, 0), ==, KR_NEWS_FRESH);
-  g_assert_cmpint (take (b, 2, 3, TRUE, 0, 0), ==, KR_NEWS_OVERTAKEN);
+  g_assert_cmpint (take (b, 2, 4, FALSE, 0, 0), ==, KR_REPORT_FRESH);
+  g_assert_cmpint (take (b, 2, 3, TRUE, 0, 0), ==, KR_REPORT_OVERTAKEN);
   kr_machine_free (b);
 }
 
@@ -112,11 +112,11 @@
 {
   KrMachine *b = fresh ();
   take (b, 1, 1, FALSE, 1, KR_TASK_RUNNING); /* fenced by a command, never heard of again */
-  g_assert_cmpint (b->answered, >, 0);
-  g_assert_true (kr_machine_lease_over (b, b->answered + kr_seconds (14), 12));
-  b->answered = 10 * G_USEC_PER_SEC;
-  g_assert_false (kr_machine_lease_over (b, b->answered + kr_seconds (12), 12));
-  g_assert_true (kr_machine_lease_over (b, b->answered + kr_seconds (14), 12));
+  g_assert_cmpint (b->lease_renewed_at, >, 0);
+  g_assert_true (kr_machine_lease_expired (b, b->lease_renewed_at + kr_seconds_to_us (14), 12));
+  b->lease_renewed_at = 10 * G_USEC_PER_SEC;
+  g_assert_false (kr_machine_lease_expired (b, b->lease_renewed_at + kr_seconds_to_us (12), 12));
+  g_assert_true (kr_machine_lease_expired (b, b->lease_renewed_at + kr_seconds_to_us (14), 12));
   kr_machine_free (b);
 }
 
@@ -126,21 +126,21 @@
 test_lease_at_fence (void)
 {
   KrMachine *b = fresh ();
-  b->answered = 100;
+  b->lease_renewed_at = 100;
   take (b, 1, 1, FALSE, 1, KR_TASK_RUNNING);
-  g_assert_cmpint (b->answered, ==, 1000000);
-  b->answered = 100; /* fenced already: a command's answer renews nothing */
+  g_assert_cmpint (b->lease_renewed_at, ==, 1000000);
+  b->lease_renewed_at = 100; /* fenced already: a command's answer renews nothing */
   take (b, 1, 2, FALSE, 1, KR_TASK_RUNNING);
-  g_assert_cmpint (b->answered, ==, 100);
+  g_assert_cmpint (b->lease_renewed_at, ==, 100);
   kr_machine_free (b);
 }
 
-static KrSpec *
+static KrJobSpec *
 spec (guint tasks)
 {
-  KrSpec *s = g_new0 (KrSpec, 1);
+  KrJobSpec *s = g_new0 (KrJobSpec, 1);
   s->id = g_strdup ("wk-1");
-  s->lane = g_strdup ("l");
+  s->job_class = g_strdup ("l");
   s->team = g_strdup ("t");
   s->image = g_strdup ("img");
   s->tasks = tasks;
@@ -153,7 +153,7 @@
 static void
 test_done_set (void)
 {
-  const guint sizes[] = { 1, 7, 8, 9, 351, KR_CHUNK_BITS, KR_CHUNK_BITS + 1, 100000 };
+  const guint sizes[] = { 1, 7, 8, 9, 351, KR_DONE_CHUNK_BITS, KR_DONE_CHUNK_BITS + 1, 100000 };
   for (guint k = 0; k < G_N_ELEMENTS (sizes); k++) {
     guint n = sizes[k], count = 0;
     g_autoptr (KrJob) j = kr_job_new (spec (n), 1, 2);
@@ -170,8 +170,8 @@
                       7 * 1024); /* the smallest value limit that settings allow */
     free (text);
     g_autoptr (KrJob) back = kr_job_decode (v, 9);
-    g_assert_cmpuint (back->chunks_missing, ==, kr_job_chunks (j) - 1);
-    for (guint c = 1; c < kr_job_chunks (j); c++) {
+    g_assert_cmpuint (back->chunks_missing, ==, kr_job_chunk_count (j) - 1);
+    for (guint c = 1; c < kr_job_chunk_count (j); c++) {
       json_t *t = kr_job_chunk_encode (j, j->done, c);
       kr_job_chunk_merge (back, c, t);
       json_decref (t);
@@ -179,9 +179,9 @@
     g_assert_cmpuint (back->n_done, ==, count);
     for (guint i = 0; i < n; i++) {
       g_assert_cmpint (kr_job_is_done (back, i), ==, plain[i]);
-      g_assert_cmpint (kr_job_is_durable (back, i), ==, plain[i]);
+      g_assert_cmpint (kr_job_is_persisted (back, i), ==, plain[i]);
     }
-    gint64 next = kr_job_next (back);
+    gint64 next = kr_job_next_task (back);
     g_assert_true (next < 0 ? count == n : !plain[next]);
     json_decref (v);
   }
@@ -210,7 +210,7 @@
       }
       break;
     default:
-      kr_job_drop_active (j, t);
+      kr_job_remove_active (j, t);
       active[t] -= active[t] > 0;
     }
     guint both = 0;
@@ -221,16 +221,16 @@
       }
       both += active[i] && done[i];
     }
-    g_assert_cmpint (kr_job_next (j), ==, first);
+    g_assert_cmpint (kr_job_next_task (j), ==, first);
     g_assert_cmpuint (kr_job_unstarted (j), <=, unstarted);
     g_assert_cmpuint (kr_job_unstarted (j) + both, >=, unstarted);
     if (step % 400 == 399) { /* begin anew */
       for (guint i = 0; i < 30; i++)
         while (active[i]) {
-          kr_job_drop_active (j, i);
+          kr_job_remove_active (j, i);
           active[i]--;
         }
-      memset (j->done, 0, kr_job_bytes (j));
+      memset (j->done, 0, kr_job_bitmap_bytes (j));
       memset (done, 0, sizeof done);
       j->n_done = j->cursor = 0;
     }
