--- a/tests/test_meetings.c
+++ b/tests/test_meetings.c
@@ -1,6 +1,6 @@
 /* Where two troubles meet: whole nodes in simulated time. Each test brings a meeting about and lets
  * the stand-ins watch every rule over the whole of it; docs/incidents/meetings.md lists them. */
-#include "scenes.h"
+#include "fixture.h"
 #include <string.h>
 
 static const char *
@@ -13,18 +13,18 @@
 
 /* A node and the machines of a zone, from all the rest. */
 static void
-cut_zone (guint node, const char *zone, SimCut how)
+cut_zone (guint node, const char *zone, SimLinkState how)
 {
   g_auto (GStrv) machines = sim_machine_names (zone);
   const char *const outside[] = { "state", "cloud", "user" };
   for (guint i = 0; i < G_N_ELEMENTS (outside); i++)
-    sim_cut_both (node_name (node), outside[i], how);
-  for (guint i = 0; i < usual.nodes; i++) {
+    sim_set_link_both (node_name (node), outside[i], how);
+  for (guint i = 0; i < default_options.nodes; i++) {
     if (i == node)
       continue;
-    sim_cut_both (node_name (node), node_name (i), how);
+    sim_set_link_both (node_name (node), node_name (i), how);
     for (char **m = machines; *m; m++)
-      sim_cut_both (*m, node_name (i), how);
+      sim_set_link_both (*m, node_name (i), how);
   }
 }
 
@@ -32,7 +32,7 @@
 hang (char **machines, guint most, gboolean on)
 {
   for (guint i = 0; machines[i] && i < most; i++)
-    sim_machine_hang (machines[i], on);
+    sim_machine_pause (machines[i], on);
 }
 
 /* Work goes on inside a zone that is cut off for longer than a lease; what it reports, and what its
@@ -40,21 +40,21 @@
 static void
 zone_cut (void)
 {
-  SimOptions o = usual;
+  SimOptions o = default_options;
   o.zones = 2;
-  o.vary = 0.5;
-  begin (&o);
-  submit_some (40, 20);
+  o.run_time_jitter = 0.5;
+  start_cluster (&o);
+  submit_jobs (40, 20);
   sim_run (30);
   for (guint k = 0; k < 2; k++) {
-    cut_zone (0, "z0", k ? SIM_DROP : SIM_HOLD);
+    cut_zone (0, "z0", k ? SIM_LINK_DROP : SIM_LINK_HOLD);
     sim_run (k ? 40 : 25);
     if (k)
-      crash (1, 0.3); /* who took the part over ends meanwhile */
-    cut_zone (0, "z0", SIM_OPEN);
+      crash_and_restart (1, 0.3); /* who took the part over ends meanwhile */
+    cut_zone (0, "z0", SIM_LINK_UP);
     sim_run (5);
   }
-  finish (400);
+  finish_and_check (400);
 }
 
 static void
@@ -68,23 +68,23 @@
 static void
 ends_straddle (void)
 {
-  SimOptions o = usual;
-  o.vary = 0.9;
-  o.copies = 0.2;
-  begin (&o);
+  SimOptions o = default_options;
+  o.run_time_jitter = 0.9;
+  o.duplicate_reports = 0.2;
+  start_cluster (&o);
   for (guint i = 0; i < 24; i++) {
     g_autofree char *id = g_strdup_printf ("wk-0001%02u", i);
     g_autofree char *team = g_strdup_printf ("team%u", i % 3);
     sim_submit (id, team, i % 4 ? "normal" : "urgent", 2 + i % 2, 1, 25, 600);
   }
   sim_run (20);
-  sim_late_writes (0.3);
+  sim_delay_commits (0.3);
   for (guint i = 0; i < 8; i++) {
-    crash (i % 3, i % 2 ? 0.3 : 8);
+    crash_and_restart (i % 3, i % 2 ? 0.3 : 8);
     sim_run (4);
   }
-  sim_late_writes (0);
-  finish (300);
+  sim_delay_commits (0);
+  finish_and_check (300);
 }
 
 static void
@@ -98,24 +98,24 @@
 static void
 late_writes (void)
 {
-  SimOptions o = usual;
-  o.vary = 0.5;
-  begin (&o);
-  sim_late_writes (0.35);
-  submit_some (40, 10);
+  SimOptions o = default_options;
+  o.run_time_jitter = 0.5;
+  start_cluster (&o);
+  sim_delay_commits (0.35);
+  submit_jobs (40, 10);
   sim_run (25);
   sim_submit ("wk-000004", "team0", "urgent", 30, 1, 30, 100);
   for (guint i = 0; i < 6; i++) {
-    sim_cut_both (node_name (i % 3), "state", i % 2 ? SIM_HOLD : SIM_DROP);
+    sim_set_link_both (node_name (i % 3), "state", i % 2 ? SIM_LINK_HOLD : SIM_LINK_DROP);
     sim_run (3 + i);
-    sim_cut_both (node_name (i % 3), "state", SIM_OPEN);
+    sim_set_link_both (node_name (i % 3), "state", SIM_LINK_UP);
     if (i == 2)
-      sim_abort ("wk-000004");
-    crash ((i + 1) % 3, i % 2 ? 0.2 : 7);
+      sim_cancel ("wk-000004");
+    crash_and_restart ((i + 1) % 3, i % 2 ? 0.2 : 7);
     sim_run (4);
   }
-  sim_late_writes (0);
-  finish (400);
+  sim_delay_commits (0);
+  finish_and_check (400);
 }
 
 static void
@@ -129,15 +129,15 @@
 static void
 placed_jobs (void)
 {
-  SimOptions o = usual;
+  SimOptions o = default_options;
   o.zones = 2;
-  o.machines = 10;
-  o.vary = 0.5;
-  begin (&o);
+  o.max_machines = 10;
+  o.run_time_jitter = 0.5;
+  start_cluster (&o);
   for (guint i = 0; i < 12; i++) {
     g_autofree char *id = g_strdup_printf ("wk-0002%02u", i);
     g_autofree char *team = g_strdup_printf ("team%u", i % 3);
-    sim_submit_placed (id, team, 4 + 3 * (i % 5), 1, 30, i % 2 ? SIM_ONE_ZONE : SIM_APART);
+    sim_submit_placed (id, team, 4 + 3 * (i % 5), 1, 30, i % 2 ? SIM_ONE_ZONE : SIM_SPREAD);
   }
   sim_run (35);
   for (guint i = 0; i < 3; i++) {
@@ -145,22 +145,22 @@
     guint n = g_strv_length (all);
     if (n > 4) {
       sim_machine_kill (all[0]);
-      sim_machine_hang (all[1], TRUE);
-      deafen (all[2], SIM_DROP);
-      cut_off (all[3], SIM_HOLD);
-      sim_machine_mute (all[4], TRUE);
+      sim_machine_pause (all[1], TRUE);
+      set_links_to_machine (all[2], SIM_LINK_DROP);
+      set_machine_links (all[3], SIM_LINK_HOLD);
+      sim_machine_stop_reports (all[4], TRUE);
     }
-    crash (i, i % 2 ? 0.3 : 9);
+    crash_and_restart (i, i % 2 ? 0.3 : 9);
     sim_run (6);
     if (n > 4) {
-      sim_machine_hang (all[1], FALSE);
-      deafen (all[2], SIM_OPEN);
-      cut_off (all[3], SIM_OPEN);
-      sim_machine_mute (all[4], FALSE);
+      sim_machine_pause (all[1], FALSE);
+      set_links_to_machine (all[2], SIM_LINK_UP);
+      set_machine_links (all[3], SIM_LINK_UP);
+      sim_machine_stop_reports (all[4], FALSE);
     }
     sim_run (12);
   }
-  finish (400);
+  finish_and_check (400);
 }
 
 static void
@@ -173,24 +173,24 @@
 static void
 ten_owners (void)
 {
-  SimOptions o = usual;
-  o.copies = 0.2;
-  begin (&o);
-  submit_some (60, 12);
+  SimOptions o = default_options;
+  o.duplicate_reports = 0.2;
+  start_cluster (&o);
+  submit_jobs (60, 12);
   sim_run (30);
   for (guint i = 0; i < 10; i++) {
-    sim_state_refuse (i % 3, TRUE);
+    sim_state_refuse_node (i % 3, TRUE);
     sim_run (i % 3 ? 9 : 3);
     if (i == 3 || i == 7) {
       sim_state_outage (TRUE);
-      crash ((i + 1) % 3, 0.2);
+      crash_and_restart ((i + 1) % 3, 0.2);
       sim_run (16);
       sim_state_outage (FALSE);
     }
-    sim_state_refuse (i % 3, FALSE);
+    sim_state_refuse_node (i % 3, FALSE);
     sim_run (1);
   }
-  finish (400);
+  finish_and_check (400);
 }
 
 static void
@@ -204,10 +204,10 @@
 static void
 limit_at_handover (void)
 {
-  SimOptions o = usual;
+  SimOptions o = default_options;
   o.team_limit = 24;
-  o.vary = 0.3;
-  begin (&o);
+  o.run_time_jitter = 0.3;
+  start_cluster (&o);
   sim_submit ("wk-000001", "team0", "normal", 40, 1, 40, 900);
   sim_submit ("wk-000002", "team0", "normal", 40, 1, 40, 900);
   sim_run (40);
@@ -215,20 +215,20 @@
     g_auto (GStrv) all = sim_machine_names (NULL);
     hang (all, 2, TRUE);
     if (all[0] && all[1] && all[2])
-      deafen (all[2], SIM_DROP);
+      set_links_to_machine (all[2], SIM_LINK_DROP);
     sim_node_kill (i);
     sim_run (2);
     if (i == 1)
-      sim_abort ("wk-000001");
+      sim_cancel ("wk-000001");
     sim_run (7);
     sim_node_start (i);
     sim_run (3);
     hang (all, 2, FALSE);
     if (all[0] && all[1] && all[2])
-      deafen (all[2], SIM_OPEN);
+      set_links_to_machine (all[2], SIM_LINK_UP);
     sim_run (12);
   }
-  finish (600);
+  finish_and_check (600);
 }
 
 static void
@@ -242,34 +242,34 @@
 static void
 unreached_at_handover (void)
 {
-  SimOptions o = usual;
-  o.vary = 0.3;
-  begin (&o);
+  SimOptions o = default_options;
+  o.run_time_jitter = 0.3;
+  start_cluster (&o);
   sim_submit ("wk-000001", "team0", "normal", 50, 1, 70, 900);
   sim_run (40);
   for (guint i = 0; i < 4; i++) {
     g_auto (GStrv) all = sim_machine_names (NULL);
     for (guint k = 0; all[k] && k < 4; k++) {
       if ((i + k) % 4 == 0)
-        sim_machine_hang (all[k], TRUE);
+        sim_machine_pause (all[k], TRUE);
       else if ((i + k) % 4 == 1)
-        deafen (all[k], SIM_HOLD);
+        set_links_to_machine (all[k], SIM_LINK_HOLD);
       else if ((i + k) % 4 == 2)
-        cut_off (all[k], SIM_DROP);
+        set_machine_links (all[k], SIM_LINK_DROP);
       else
-        sim_machine_mute (all[k], TRUE);
+        sim_machine_stop_reports (all[k], TRUE);
     }
     sim_run (0.5);
-    crash (i % 3, i < 2 ? 9 : 0.4);
+    crash_and_restart (i % 3, i < 2 ? 9 : 0.4);
     sim_run (i % 2 ? 3 : 15);
     for (guint k = 0; all[k]; k++) {
-      sim_machine_hang (all[k], FALSE);
-      sim_machine_mute (all[k], FALSE);
-      cut_off (all[k], SIM_OPEN);
+      sim_machine_pause (all[k], FALSE);
+      sim_machine_stop_reports (all[k], FALSE);
+      set_machine_links (all[k], SIM_LINK_UP);
     }
     sim_run (15);
   }
-  finish (600);
+  finish_and_check (600);
 }
 
 static void
@@ -283,20 +283,20 @@
 static void
 held_commands (void)
 {
-  SimOptions o = usual;
-  o.vary = 0.5;
-  begin (&o);
-  submit_some (60, 6);
+  SimOptions o = default_options;
+  o.run_time_jitter = 0.5;
+  start_cluster (&o);
+  submit_jobs (60, 6);
   for (guint i = 0; i < 14; i++) {
     sim_run (5);
     g_auto (GStrv) all = sim_machine_names (NULL);
     hang (all, 3, TRUE);
     if (i == 6)
-      sim_abort ("wk-000002");
+      sim_cancel ("wk-000002");
     sim_run (1 + i % 7 * 2);
     hang (all, 3, FALSE);
   }
-  finish (400);
+  finish_and_check (400);
 }
 
 static void
@@ -310,7 +310,7 @@
 static void
 cancel_at_end (void)
 {
-  begin (&usual);
+  start_cluster (&default_options);
   for (guint i = 0; i < 40; i++) {
     g_autofree char *id = g_strdup_printf ("wk-0003%02u", i);
     sim_submit (id, "team0", "normal", 1, 1, 5, 600);
@@ -319,13 +319,13 @@
     sim_run (0.05);
   for (guint i = 0; i < 40; i++) {
     g_autofree char *id = g_strdup_printf ("wk-0003%02u", i);
-    double begun = sim_began (id);
+    double begun = sim_time_to_first_task (id);
     /* From before its end to after that is durable. */
     while (begun < 0 || sim_now () < 3 + begun + 4.8 + 0.02 * i) {
       sim_run (0.02);
-      begun = sim_began (id);
+      begun = sim_time_to_first_task (id);
     }
-    sim_abort (id);
+    sim_cancel (id);
   }
   for (guint node = 0; node < 3; node++) {
     sim_run (5);
@@ -334,7 +334,7 @@
       g_assert_cmpuint (sim_request (node, "POST", path, NULL), ==, 200);
     }
   }
-  finish (60);
+  finish_and_check (60);
 }
 
 static void
@@ -348,26 +348,26 @@
 static void
 mute_machines (void)
 {
-  SimOptions o = usual;
-  o.vary = 0.3;
-  begin (&o);
-  submit_some (60, 20);
+  SimOptions o = default_options;
+  o.run_time_jitter = 0.3;
+  start_cluster (&o);
+  submit_jobs (60, 20);
   sim_run (35);
   for (guint i = 0; i < 4; i++) {
     g_auto (GStrv) all = sim_machine_names (NULL);
     for (guint k = 0; all[k]; k += 2)
-      sim_machine_mute (all[k], TRUE);
+      sim_machine_stop_reports (all[k], TRUE);
     sim_run (3);
     if (i % 2)
-      crash (i % 3, i == 1 ? 9 : 0.3);
+      crash_and_restart (i % 3, i == 1 ? 9 : 0.3);
     if (i == 2)
-      sim_abort ("wk-000003");
+      sim_cancel ("wk-000003");
     sim_run (6 + 8 * (i % 3));
     for (guint k = 0; all[k]; k += 2)
-      sim_machine_mute (all[k], FALSE);
+      sim_machine_stop_reports (all[k], FALSE);
     sim_run (10);
   }
-  finish (600);
+  finish_and_check (600);
 }
 
 static void
@@ -381,17 +381,17 @@
 static void
 node_hangs (void)
 {
-  SimOptions o = usual;
-  o.vary = 0.4;
-  begin (&o);
-  submit_some (60, 15);
+  SimOptions o = default_options;
+  o.run_time_jitter = 0.4;
+  start_cluster (&o);
+  submit_jobs (60, 15);
   sim_run (30);
   for (guint i = 0; i < 4; i++) {
-    sim_node_hang (i % 3, TRUE);
+    sim_node_pause (i % 3, TRUE);
     sim_run (i % 2 ? 70 : 7);
     if (i == 1)
-      sim_abort ("wk-000003");
-    sim_node_hang (i % 3, FALSE);
+      sim_cancel ("wk-000003");
+    sim_node_pause (i % 3, FALSE);
     sim_run (12);
     sim_submit (i == 0   ? "wk-000011"
                 : i == 1 ? "wk-000012"
@@ -399,7 +399,7 @@
                          : "wk-000014",
                 "team0", "normal", 20, 1, 15, 600);
   }
-  finish (600);
+  finish_and_check (600);
 }
 
 static void
@@ -413,19 +413,19 @@
 static void
 sound_job (void)
 {
-  begin (&usual);
+  start_cluster (&default_options);
   sim_submit ("wk-000002", "team0", "normal", 8, 8, 25, 600); /* brings the machines up */
   sim_run (30);
   g_auto (GStrv) all = sim_machine_names (NULL);
   g_assert_cmpuint (g_strv_length (all), ==, 8);
-  sim_machine_sick (all[0], TRUE);
-  sim_machine_sick (all[1], TRUE);
+  sim_machine_fail_tasks (all[0], TRUE);
+  sim_machine_fail_tasks (all[1], TRUE);
   sim_submit ("wk-000001", "team0", "normal", 120, 1, 200, 300);
   sim_run (35);
   g_assert_cmpuint (sim_tasks_running ("wk-000001"), >=, 40);
-  sim_machine_sick (all[0], FALSE);
-  sim_machine_sick (all[1], FALSE);
-  finish (1200);
+  sim_machine_fail_tasks (all[0], FALSE);
+  sim_machine_fail_tasks (all[1], FALSE);
+  finish_and_check (1200);
 }
 
 static void
@@ -440,28 +440,28 @@
 static void
 well_again (gboolean deaf, gboolean full)
 {
-  SimOptions o = usual;
-  o.machines = 2;
-  begin (&o);
+  SimOptions o = default_options;
+  o.max_machines = 2;
+  start_cluster (&o);
   sim_submit ("wk-000002", "team0", "normal", full ? 12 : 2, full ? 1 : 5, 900, 2000);
   sim_run (40);
   sim_submit ("wk-000001", "team0", "normal", 40, 1, 30, 600);
-  sim_mistaken ("wk-000001", !deaf);
+  sim_job_fail_tasks ("wk-000001", !deaf);
   sim_run (2);
-  g_autofree char *m = g_strdup (sim_idlest_machine ());
+  g_autofree char *m = g_strdup (sim_least_busy_machine ());
   if (deaf)
-    deafen (m, SIM_DROP);
+    set_links_to_machine (m, SIM_LINK_DROP);
   sim_run (250);
-  guint before = sim_started () + sim_unheard (NULL);
-  for (guint i = 0; i < 400 && sim_started () + sim_unheard (NULL) == before; i++)
+  guint before = sim_tasks_started () + sim_runs_lost (NULL);
+  for (guint i = 0; i < 400 && sim_tasks_started () + sim_runs_lost (NULL) == before; i++)
     sim_run (0.5);
-  g_assert_cmpuint (sim_started () + sim_unheard (NULL), >, before);
+  g_assert_cmpuint (sim_tasks_started () + sim_runs_lost (NULL), >, before);
   sim_run (3);
-  g_assert_cmpstr (sim_told ("wk-000001"), !=, "done");
-  sim_calm ();
-  sim_mistaken ("wk-000001", FALSE);
-  deafen (m, SIM_OPEN);
-  finish (1600);
+  g_assert_cmpstr (sim_reported_state ("wk-000001"), !=, "done");
+  sim_faults_over ();
+  sim_job_fail_tasks ("wk-000001", FALSE);
+  set_links_to_machine (m, SIM_LINK_UP);
+  finish_and_check (1600);
 }
 
 static void
@@ -490,30 +490,30 @@
 static void
 wakes_up (void)
 {
-  begin (&usual);
+  start_cluster (&default_options);
   sim_submit ("wk-000001", "team0", "normal", 32, 1, 400, 900);
   sim_run (35);
   sim_submit ("wk-000002", "team0", "normal", 90, 1, 400, 2000);
   sim_run (25);
   g_autofree char *m = g_strdup (sim_machine_of ("wk-000001"));
-  sim_cut ("n0", m, SIM_DROP);
-  sim_abort_at ("wk-000001", 1);
+  sim_set_link ("n0", m, SIM_LINK_DROP);
+  sim_cancel_at ("wk-000001", 1);
   sim_run (0.5);
-  g_assert_cmpstr (sim_told ("wk-000001"), ==, "cancelled");
-  sim_node_hang (0, TRUE);
+  g_assert_cmpstr (sim_reported_state ("wk-000001"), ==, "cancelled");
+  sim_node_pause (0, TRUE);
   sim_run (1);
-  sim_cut ("n0", m, SIM_OPEN);
+  sim_set_link ("n0", m, SIM_LINK_UP);
   sim_run (45);
-  g_assert_true (sim_machine_lives (m));
-  sim_state_refuse (0, TRUE);
-  sim_node_hang (0, FALSE);
+  g_assert_true (sim_machine_alive (m));
+  sim_state_refuse_node (0, TRUE);
+  sim_node_pause (0, FALSE);
   sim_run (4);
-  g_assert_true (sim_machine_lives (m));
+  g_assert_true (sim_machine_alive (m));
   g_assert_cmpuint (sim_request (0, "GET", "/ready", NULL), ==, 503);
-  sim_state_refuse (0, FALSE);
+  sim_state_refuse_node (0, FALSE);
   sim_run (5);
   g_assert_cmpuint (sim_request (0, "GET", "/ready", NULL), ==, 200);
-  finish (1600);
+  finish_and_check (1600);
 }
 
 static void
@@ -527,24 +527,25 @@
 static void
 test_shared_polls (void)
 {
-  begin (&usual);
+  start_cluster (&default_options);
   sim_submit ("wk-000001", "team0", "normal", 4, 1, 500, 900);
   sim_run (30);
-  guint before = sim_state_requests ();
+  guint before = sim_state_request_count ();
   for (guint i = 0; i < 300; i++)
-    sim_ask (1, "GET", "/api/jobs/wk-000001", NULL);
+    sim_request_async (1, "GET", "/api/jobs/wk-000001", NULL);
   sim_run (1);
-  g_assert_cmpuint (sim_answered (200), ==, 300);
-  g_assert_cmpuint (sim_state_requests () - before, <, 30); /* renewals, records and two reads */
-  sim_abort_at ("wk-000001", 2);
+  g_assert_cmpuint (sim_response_count (200), ==, 300);
+  g_assert_cmpuint (sim_state_request_count () - before, <,
+                    30); /* renewals, records and two reads */
+  sim_cancel_at ("wk-000001", 2);
   for (guint i = 0; i < 300; i++) { /* while it is cancelled, and once it is over */
-    sim_ask (1, "GET", "/api/jobs/wk-000001", NULL);
+    sim_request_async (1, "GET", "/api/jobs/wk-000001", NULL);
     sim_run (0.001);
   }
   sim_run (3);
-  g_assert_cmpuint (sim_answered (200) + sim_answered (503), ==, 600);
-  g_assert_cmpuint (sim_answered (200), >, 550);
-  finish (30);
+  g_assert_cmpuint (sim_response_count (200) + sim_response_count (503), ==, 600);
+  g_assert_cmpuint (sim_response_count (200), >, 550);
+  finish_and_check (30);
 }
 
 /* Users ask about hundreds of jobs many times a second. What is beyond gets 429 at once, and what
@@ -552,15 +553,15 @@
 static void
 test_poll_storm (void)
 {
-  begin (&usual);
+  start_cluster (&default_options);
   for (guint i = 0; i < 10000; i++) {
     g_autofree char *path = g_strdup_printf ("/api/jobs/wk-%u", 100000 + i % 700);
-    sim_ask (0, "GET", path, NULL);
+    sim_request_async (0, "GET", path, NULL);
     if (i % 10 == 0)
       sim_run (0.01);
     if (i % 500 == 499) {
       g_autofree char *id = g_strdup_printf ("\"wk-%u\"", i);
-      g_autofree char *body = job_with ("Id", id);
+      g_autofree char *body = job_json_with ("Id", id);
       g_autofree char *abort = g_strdup_printf ("/api/jobs/wk-%u/abort", i);
       double asked = sim_now ();
       g_assert_cmpuint (sim_request (0, "POST", "/api/jobs", body), ==, 201);
@@ -569,10 +570,10 @@
     }
   }
   sim_run (5);
-  g_assert_cmpuint (sim_answered (404) + sim_answered (429), ==, 10000);
-  g_assert_cmpuint (sim_answered (404), >, 300);
-  g_assert_cmpuint (sim_answered (429), >, 5000);
-  g_assert_cmpstr (sim_broken (), ==, "");
+  g_assert_cmpuint (sim_response_count (404) + sim_response_count (429), ==, 10000);
+  g_assert_cmpuint (sim_response_count (404), >, 300);
+  g_assert_cmpuint (sim_response_count (429), >, 5000);
+  g_assert_cmpstr (sim_violations (), ==, "");
   sim_stop ();
 }
 
@@ -582,9 +583,9 @@
 static void
 crowd (void)
 {
-  SimOptions o = usual;
-  o.vary = 0.8;
-  begin (&o);
+  SimOptions o = default_options;
+  o.run_time_jitter = 0.8;
+  start_cluster (&o);
   guint requests = 0, asked = 0;
   for (guint i = 0; i < 90; i++) {
     g_autofree char *id = g_strdup_printf ("wk-0005%02u", i);
@@ -592,42 +593,42 @@
     sim_submit (id, team, "normal", 1 + i % 3, 1, 8, 600);
     sim_run (0.3);
   }
-  sim_state_slow (0.2); /* polls overlap */
+  sim_state_delay (0.2); /* polls overlap */
   for (guint i = 0; i < 3000; i++) {
     g_autofree char *path = g_strdup_printf ("/api/jobs/wk-0005%02u", (i * 37) % 90);
     if (i == 200)
-      requests = sim_state_requests ();
-    sim_ask (i % 3, "GET", path, NULL);
+      requests = sim_state_request_count ();
+    sim_request_async (i % 3, "GET", path, NULL);
     if (i % 4 == 3)
       sim_run (0.03);
     if (i == 600)
-      asked = sim_state_requests () - requests;
+      asked = sim_state_request_count () - requests;
     if (i % 100 == 50) {
       g_autofree char *id = g_strdup_printf ("wk-0005%02u", 20 + i / 100);
-      sim_abort (id);
+      sim_cancel (id);
     }
     if (i == 1000)
-      crash (1, 0.3);
+      crash_and_restart (1, 0.3);
     if (i == 1300)
-      sim_late_writes (0.3);
+      sim_delay_commits (0.3);
     if (i == 1600) {
       sim_state_outage (TRUE);
       sim_run (8);
       sim_state_outage (FALSE);
     }
     if (i == 2000)
-      crash (0, 8);
+      crash_and_restart (0, 8);
     if (i == 2400)
-      sim_state_refuse (2, TRUE);
+      sim_state_refuse_node (2, TRUE);
     if (i == 2700)
-      sim_state_refuse (2, FALSE);
+      sim_state_refuse_node (2, FALSE);
   }
-  sim_late_writes (0);
-  sim_state_slow (0);
-  g_assert_cmpuint (sim_answered (200), >, 1500);
+  sim_delay_commits (0);
+  sim_state_delay (0);
+  g_assert_cmpuint (sim_response_count (200), >, 1500);
   g_test_message ("%u requests", asked);
   g_assert_cmpuint (asked, <, 280); /* of 400 polls and all else; 320 and more without sharing */
-  finish (300);
+  finish_and_check (300);
 }
 
 /* A request that polls share was carried out, its answer is on its way, and through another node a
@@ -636,26 +637,26 @@
 static void
 crowd_after_news (void)
 {
-  begin (&usual);
+  start_cluster (&default_options);
   sim_submit ("wk-000001", "team0", "normal", 4, 1, 500, 900);
   sim_run (30);
   for (guint k = 0; k < 2; k++) { /* the first time the view is read, the second its changes */
     for (guint i = 0; i < 12; i++) {
       g_autofree char *path = g_strdup_printf ("/api/jobs/wk-%u", 700000 + i);
-      sim_ask (1, "GET", path, NULL);
+      sim_request_async (1, "GET", path, NULL);
       if (k && i == 8)
-        sim_cut ("state", "n1", SIM_HOLD);
+        sim_set_link ("state", "n1", SIM_LINK_HOLD);
     }
     sim_run (k ? 0.15 : 1);
   }
-  sim_abort_at ("wk-000001", 2);
+  sim_cancel_at ("wk-000001", 2);
   sim_run (0.1);
-  g_assert_cmpstr (sim_told ("wk-000001"), ==, "cancelled");
+  g_assert_cmpstr (sim_reported_state ("wk-000001"), ==, "cancelled");
   sim_poll_at ("wk-000001", 1);
   sim_run (0.1);
-  sim_cut ("state", "n1", SIM_OPEN);
+  sim_set_link ("state", "n1", SIM_LINK_UP);
   sim_run (3);
-  finish (30);
+  finish_and_check (30);
 }
 
 static void
@@ -670,15 +671,15 @@
 static void
 boots_at_former_owner (void)
 {
-  begin (&usual);
+  start_cluster (&default_options);
   sim_submit ("wk-000001", "team0", "normal", 64, 1, 200, 400);
   sim_run (5);
-  g_assert_cmpuint (sim_machines (), ==, 8);
-  sim_cut_both ("n0", "state", SIM_DROP);
+  g_assert_cmpuint (sim_machine_count (), ==, 8);
+  sim_set_link_both ("n0", "state", SIM_LINK_DROP);
   sim_run (30);
   g_assert_cmpuint (sim_tasks_running (NULL), ==, 64);
-  sim_cut_both ("n0", "state", SIM_OPEN);
-  finish (600);
+  sim_set_link_both ("n0", "state", SIM_LINK_UP);
+  finish_and_check (600);
 }
 
 static void
@@ -692,7 +693,7 @@
 {
   for (guint i = 0; i < 3; i++) {
     g_autofree char *id = g_strdup_printf ("wk-00001%u", i);
-    if (!*sim_told (id))
+    if (!*sim_reported_state (id))
       return FALSE;
   }
   return TRUE;
@@ -704,17 +705,17 @@
 static void
 former_owner_and_leader (guint node)
 {
-  SimOptions o = usual;
-  o.machines = 60;
-  begin (&o);
-  submit_some (32, 150); /* 4, 4 and 8 machines */
+  SimOptions o = default_options;
+  o.max_machines = 60;
+  start_cluster (&o);
+  submit_jobs (32, 150); /* 4, 4 and 8 machines */
   sim_run (40);
   g_assert_cmpuint (sim_tasks_running (NULL), ==, 96);
-  guint before = sim_machines ();
+  guint before = sim_machine_count ();
   g_assert_cmpuint (before, <=, 20);
-  sim_cut_both (node_name (node), "state", SIM_DROP);
+  sim_set_link_both (node_name (node), "state", SIM_LINK_DROP);
   sim_run (20);
-  g_assert_cmpuint (sim_machines (), <=, before);
+  g_assert_cmpuint (sim_machine_count (), <=, before);
   for (guint i = 0; i < 3; i++) {
     g_autofree char *id = g_strdup_printf ("wk-00001%u", i);
     g_autofree char *team = g_strdup_printf ("team%u", i);
@@ -726,15 +727,16 @@
     sim_run (1);
   sim_run (30);
   g_assert_cmpuint (sim_tasks_running (NULL), ==, 192);
-  g_assert_cmpuint (sim_machines (), <=, before + 12 + 4); /* the work, and a few in part used */
-  sim_cut_both (node_name (node), "state", SIM_OPEN);
-  finish (600);
+  g_assert_cmpuint (sim_machine_count (), <=,
+                    before + 12 + 4); /* the work, and a few in part used */
+  sim_set_link_both (node_name (node), "state", SIM_LINK_UP);
+  finish_and_check (600);
 }
 
 static void
 test_former_owner_and_leader (void)
 {
-  for (guint i = 0; i < usual.nodes; i++)
+  for (guint i = 0; i < default_options.nodes; i++)
     former_owner_and_leader (i);
 }
 
@@ -743,15 +745,15 @@
 static void
 paid_machines_serve_all (void)
 {
-  begin (&usual);
+  start_cluster (&default_options);
   sim_submit ("wk-000001", "team0", "normal", 64, 1, 20, 600);
   sim_submit ("wk-000002", "team1", "idle", 1000, 1, 10, 4000);
   sim_run (90);
-  g_assert_cmpstr (sim_told ("wk-000001"), ==, "done");
+  g_assert_cmpstr (sim_reported_state ("wk-000001"), ==, "done");
   g_assert_cmpuint (sim_tasks_running ("wk-000002"), >=, 48);
   sim_run (150);
-  g_assert_cmpstr (sim_told ("wk-000002"), ==, "done");
-  finish (60);
+  g_assert_cmpstr (sim_reported_state ("wk-000002"), ==, "done");
+  finish_and_check (60);
 }
 
 static void
@@ -766,13 +768,13 @@
 static void
 few_machines (void)
 {
-  SimOptions o = usual;
+  SimOptions o = default_options;
   o.teams = 6;
-  o.machines = 3;
+  o.max_machines = 3;
   o.machine_cpus = 4;
-  o.vary = 0.5;
-  begin (&o);
-  sim_calm ();
+  o.run_time_jitter = 0.5;
+  start_cluster (&o);
+  sim_faults_over ();
   for (guint i = 0; i < 8; i++) {
     g_autofree char *id = g_strdup_printf ("wk-0007%02u", i);
     g_autofree char *team = g_strdup_printf ("team%u", i % 3 + 3);
@@ -783,13 +785,13 @@
     sim_submit (id, "team0", "urgent", 4, 2, 12, 60);
     sim_run (7);
   }
-  g_assert_cmpstr (sim_broken (), ==, "");
+  g_assert_cmpstr (sim_violations (), ==, "");
   for (guint i = 0; i < 8; i++) {
     g_autofree char *id = g_strdup_printf ("wk-0007%02u", i);
-    g_assert_cmpfloat (sim_began (id), >, 0);
-    g_assert_cmpfloat (sim_began (id), <, 240);
+    g_assert_cmpfloat (sim_time_to_first_task (id), >, 0);
+    g_assert_cmpfloat (sim_time_to_first_task (id), <, 240);
   }
-  finish (3000);
+  finish_and_check (3000);
 }
 
 /* One machine, and urgent jobs come over twice as fast as it can serve them, so that all wait long
@@ -797,11 +799,11 @@
 static void
 oldest_first (void)
 {
-  SimOptions o = usual;
+  SimOptions o = default_options;
   o.teams = 6;
-  o.machines = 1;
+  o.max_machines = 1;
   o.machine_cpus = 4;
-  begin (&o);
+  start_cluster (&o);
   for (guint i = 0; i < 45; i++) {
     g_autofree char *id = g_strdup_printf ("wk-0008%02u", i);
     sim_submit (id, "team0", "urgent", 1, 4, 30, 60);
@@ -809,9 +811,9 @@
       sim_submit ("wk-000899", "team3", "normal", 1, 4, 30, 600);
     sim_run (12);
   }
-  g_assert_cmpfloat (sim_began ("wk-000899"), >, 0);
-  g_assert_cmpfloat (sim_began ("wk-000899"), <, 240);
-  g_assert_cmpstr (sim_broken (), ==, "");
+  g_assert_cmpfloat (sim_time_to_first_task ("wk-000899"), >, 0);
+  g_assert_cmpfloat (sim_time_to_first_task ("wk-000899"), <, 240);
+  g_assert_cmpstr (sim_violations (), ==, "");
   sim_stop ();
 }
 
@@ -827,21 +829,21 @@
 static void
 heard_but_not_fenced (gboolean silent)
 {
-  begin (&usual);
+  start_cluster (&default_options);
   sim_submit ("wk-000001", "team0", "normal", 300, 1, 15, 2000);
   sim_run (35);
   g_autofree char *m = g_strdup (sim_busiest_machine ());
-  deafen (m, SIM_DROP);
-  crash (0, 0.3);
+  set_links_to_machine (m, SIM_LINK_DROP);
+  crash_and_restart (0, 0.3);
   sim_run (6); /* it has tried all nodes by then */
   if (silent)
-    cut_off (m, SIM_DROP);
+    set_machine_links (m, SIM_LINK_DROP);
   sim_run (16);
   sim_submit ("wk-000002", "team0", "urgent", 8, 1, 5, 60);
   sim_run (12);
-  g_assert_cmpfloat (sim_began ("wk-000002"), >, 0);
-  cut_off (m, SIM_OPEN);
-  finish (900);
+  g_assert_cmpfloat (sim_time_to_first_task ("wk-000002"), >, 0);
+  set_machine_links (m, SIM_LINK_UP);
+  finish_and_check (900);
 }
 
 static void
@@ -868,18 +870,18 @@
 static void
 test_swarm (void)
 {
-  SimOptions o = usual;
+  SimOptions o = default_options;
   o.nodes = 7;
-  o.machines = 40;
+  o.max_machines = 40;
   o.write_rps = 15;
-  begin (&o);
+  start_cluster (&o);
   for (guint i = 0; i < 300; i++) {
     g_autofree char *id = g_strdup_printf ("wk-0009%03u", i);
     sim_submit (id, "team0", "normal", 1, 1, 5, 300);
   }
-  work_off (120);
-  g_assert_true (sim_all_over ());
-  finish (0);
+  run_until_finished (120);
+  g_assert_true (sim_all_jobs_finished ());
+  finish_and_check (0);
 }
 
 /* The first machines never come up. Soon after the usual time others are rented in their place, and
@@ -887,20 +889,20 @@
 static void
 never_up (void)
 {
-  SimOptions o = usual;
-  o.machines = 40;
-  begin (&o);
-  sim_boots_fail (TRUE);
+  SimOptions o = default_options;
+  o.max_machines = 40;
+  start_cluster (&o);
+  sim_fail_boots (TRUE);
   sim_submit ("wk-000001", "team0", "normal", 80, 1, 200, 400);
   sim_run (12);
-  g_assert_cmpuint (sim_machines (), >=, 10);
-  sim_boots_fail (FALSE);
+  g_assert_cmpuint (sim_machine_count (), >=, 10);
+  sim_fail_boots (FALSE);
   sim_run (38);
   g_assert_cmpuint (sim_tasks_running (NULL), ==, 80);
   sim_run (30);
   g_assert_cmpfloat (sim_longest_boot (), <, 20);
-  g_assert_cmpuint (sim_machines (), <, 20);
-  finish (600);
+  g_assert_cmpuint (sim_machine_count (), <, 20);
+  finish_and_check (600);
 }
 
 static void
@@ -914,28 +916,28 @@
 static void
 test_huge_array (void)
 {
-  SimOptions o = usual;
-  o.machines = 60;
+  SimOptions o = default_options;
+  o.max_machines = 60;
   o.value_kb = 8;
   o.write_rps = 15;
-  o.step_s = 0.25;
-  begin (&o);
+  o.machine_poll_s = 0.25;
+  start_cluster (&o);
   sim_submit ("wk-000001", "team0", "idle", 26000, 1, 1, 2000);
   sim_submit ("wk-000002", "team0", "idle", 100000, 1, 1, 2000);
   sim_run (40);
   sim_submit ("wk-000003", "team0", "urgent", 40, 1, 10, 60);
   sim_run (25);
-  g_assert_cmpfloat (sim_began ("wk-000003"), <, 8);
-  g_assert_cmpuint (sim_started (), >, 3000);
-  crash (0, 8);
+  g_assert_cmpfloat (sim_time_to_first_task ("wk-000003"), <, 8);
+  g_assert_cmpuint (sim_tasks_started (), >, 3000);
+  crash_and_restart (0, 8);
   sim_run (30);
-  g_assert_cmpstr (sim_told ("wk-000003"), ==, "done");
-  sim_abort ("wk-000002");
+  g_assert_cmpstr (sim_reported_state ("wk-000003"), ==, "done");
+  sim_cancel ("wk-000002");
   sim_run (10);
-  g_assert_cmpstr (sim_told ("wk-000002"), ==, "cancelled");
+  g_assert_cmpstr (sim_reported_state ("wk-000002"), ==, "cancelled");
   g_assert_cmpuint (sim_tasks_running ("wk-000002"), ==, 0);
-  sim_abort ("wk-000001");
-  finish (60);
+  sim_cancel ("wk-000001");
+  finish_and_check (60);
 }
 
 /* A job fails wherever it runs until its user cancels it, from the first machine on, while another
@@ -943,29 +945,29 @@
 static void
 mistaken_job (void)
 {
-  SimOptions o = usual;
-  o.machines = 5;
-  begin (&o);
+  SimOptions o = default_options;
+  o.max_machines = 5;
+  start_cluster (&o);
   sim_submit ("wk-000001", "team0", "urgent", 200, 1, 20, 1); /* late at once: it would lead */
-  sim_mistaken ("wk-000001", TRUE);
+  sim_job_fail_tasks ("wk-000001", TRUE);
   sim_submit ("wk-000002", "team0", "normal", 200, 1, 20, 600);
   sim_submit ("wk-000003", "team0", "normal", 200, 1, 20, 600);
   sim_run (30);
   g_autofree char *sick = g_strdup (sim_busiest_machine ());
   g_auto (GStrv) all = sim_machine_names (NULL);
-  sim_machine_sick (sick, TRUE);
+  sim_machine_fail_tasks (sick, TRUE);
   sim_run (30);
-  g_assert_false (sim_machine_lives (sick));
+  g_assert_false (sim_machine_alive (sick));
   for (char **m = all; *m; m++)
-    g_assert_true (g_str_equal (*m, sick) || sim_machine_lives (*m));
+    g_assert_true (g_str_equal (*m, sick) || sim_machine_alive (*m));
   sim_run (250);
-  g_assert_cmpstr (sim_told ("wk-000002"), ==, "done");
-  g_assert_cmpstr (sim_told ("wk-000003"), ==, "done");
-  g_assert_cmpuint (sim_started (), <, 520);
-  sim_abort ("wk-000001");
+  g_assert_cmpstr (sim_reported_state ("wk-000002"), ==, "done");
+  g_assert_cmpstr (sim_reported_state ("wk-000003"), ==, "done");
+  g_assert_cmpuint (sim_tasks_started (), <, 520);
+  sim_cancel ("wk-000001");
   sim_run (10);
-  g_assert_cmpstr (sim_told ("wk-000001"), ==, "cancelled");
-  finish (60);
+  g_assert_cmpstr (sim_reported_state ("wk-000001"), ==, "cancelled");
+  finish_and_check (60);
 }
 
 static void
@@ -990,46 +992,46 @@
 };
 
 static void
-trouble_machine (const char *machine, guint troubles, SimCut how)
+trouble_machine (const char *machine, guint troubles, SimLinkState how)
 {
   if (troubles & MACHINES_HANG)
-    sim_machine_hang (machine, TRUE);
+    sim_machine_pause (machine, TRUE);
   if (troubles & MACHINES_MUTE)
-    sim_machine_mute (machine, TRUE);
+    sim_machine_stop_reports (machine, TRUE);
   if (troubles & MACHINES_CUT)
-    cut_off (machine, how);
+    set_machine_links (machine, how);
   if (troubles & MACHINES_DEAF)
-    deafen (machine, how);
+    set_links_to_machine (machine, how);
 }
 
 /* To nodes a and b. */
 static void
-trouble_nodes (guint a, guint b, guint troubles, SimCut how)
+trouble_nodes (guint a, guint b, guint troubles, SimLinkState how)
 {
   if (troubles & LATE_WRITES)
-    sim_late_writes (0.3);
+    sim_delay_commits (0.3);
   if (troubles & NO_STATE)
-    sim_cut_both (node_name (a), "state", how);
+    sim_set_link_both (node_name (a), "state", how);
   if (troubles & NO_PEER)
-    sim_cut_both (node_name (a), node_name (b), how);
+    sim_set_link_both (node_name (a), node_name (b), how);
   if (troubles & REFUSED)
-    sim_state_refuse (b, TRUE);
+    sim_state_refuse_node (b, TRUE);
   if (troubles & NODE_HANGS)
-    sim_node_hang (b, TRUE);
+    sim_node_pause (b, TRUE);
 }
 
 static void
 end_troubles (guint a, guint b, char **machines)
 {
-  sim_late_writes (0);
-  sim_cut_both (node_name (a), "state", SIM_OPEN);
-  sim_cut_both (node_name (a), node_name (b), SIM_OPEN);
-  sim_state_refuse (b, FALSE);
-  sim_node_hang (b, FALSE);
+  sim_delay_commits (0);
+  sim_set_link_both (node_name (a), "state", SIM_LINK_UP);
+  sim_set_link_both (node_name (a), node_name (b), SIM_LINK_UP);
+  sim_state_refuse_node (b, FALSE);
+  sim_node_pause (b, FALSE);
   for (char **m = machines; *m; m++) {
-    sim_machine_hang (*m, FALSE);
-    sim_machine_mute (*m, FALSE);
-    cut_off (*m, SIM_OPEN);
+    sim_machine_pause (*m, FALSE);
+    sim_machine_stop_reports (*m, FALSE);
+    set_machine_links (*m, SIM_LINK_UP);
   }
 }
 
@@ -1039,7 +1041,7 @@
   guint a = (guint) g_rand_int_range (r, 0, 3), b = (a + 1) % 3;
   g_auto (GStrv) all = sim_machine_names (NULL);
   guint n = g_strv_length (all), first = n ? (guint) g_rand_int_range (r, 0, (gint) n) : 0;
-  SimCut how = g_rand_boolean (r) ? SIM_HOLD : SIM_DROP;
+  SimLinkState how = g_rand_boolean (r) ? SIM_LINK_HOLD : SIM_LINK_DROP;
   guint troubles = 0;
   for (guint k = 0; k < 3; k++)
     troubles |= 1u << g_rand_int_range (r, 0, TROUBLES);
@@ -1048,7 +1050,7 @@
     trouble_machine (all[k], troubles, how);
   if (i % 4 == 0) {
     g_autofree char *id = g_strdup_printf ("wk-0004%02u", i / 4);
-    sim_abort (id);
+    sim_cancel (id);
   }
   if (troubles & OUTAGE) {
     sim_state_outage (TRUE);
@@ -1057,7 +1059,7 @@
   }
   sim_run (g_rand_double_range (r, 0.5, 15));
   if (g_rand_boolean (r))
-    crash (a, g_rand_boolean (r) ? 0.2 : g_rand_double_range (r, 1, 9));
+    crash_and_restart (a, g_rand_boolean (r) ? 0.2 : g_rand_double_range (r, 1, 9));
   end_troubles (a, b, all);
   sim_run (g_rand_double_range (r, 0, 8));
 }
@@ -1067,26 +1069,26 @@
 everything (void)
 {
   g_autoptr (GRand) r = g_rand_new_with_seed (seed);
-  SimOptions o = usual;
+  SimOptions o = default_options;
   o.zones = 2;
-  o.machines = 10;
-  o.vary = 0.5;
-  o.copies = 0.15;
-  o.fetch_s = 1;
+  o.max_machines = 10;
+  o.run_time_jitter = 0.5;
+  o.duplicate_reports = 0.15;
+  o.image_pull_s = 1;
   o.team_limit = 40;
-  begin (&o);
-  submit_some (50, 10);
+  start_cluster (&o);
+  submit_jobs (50, 10);
   for (guint i = 0; i < 10; i++) {
     g_autofree char *id = g_strdup_printf ("wk-0004%02u", i);
     g_autofree char *team = g_strdup_printf ("team%u", i % 3);
-    sim_submit_placed (id, team, 3 + 4 * (i % 4), 1, 20, i % 2 ? SIM_ONE_ZONE : SIM_APART);
+    sim_submit_placed (id, team, 3 + 4 * (i % 4), 1, 20, i % 2 ? SIM_ONE_ZONE : SIM_SPREAD);
   }
   sim_run (15);
   for (guint i = 0; i < 20; i++) {
     trouble_round (r, i);
-    g_assert_cmpstr (sim_broken (), ==, "");
+    g_assert_cmpstr (sim_violations (), ==, "");
   }
-  finish (900);
+  finish_and_check (900);
 }
 
 static void
@@ -1101,22 +1103,22 @@
 static void
 cloud_out_at_handover (void)
 {
-  SimOptions o = usual;
-  begin (&o);
+  SimOptions o = default_options;
+  start_cluster (&o);
   sim_submit ("wk-000001", "team0", "normal", 16, 1, 100, 600);
   sim_run (30);
   sim_cloud_outage (TRUE);
   const char *machine = sim_machine_of ("wk-000001");
   g_assert_nonnull (machine);
-  sim_machine_hang (machine, TRUE);
+  sim_machine_pause (machine, TRUE);
   sim_run (1);
-  crash (0, 9); /* another one takes the part over */
-  sim_abort ("wk-000001");
+  crash_and_restart (0, 9); /* another one takes the part over */
+  sim_cancel ("wk-000001");
   sim_run (60); /* five times the lease */
-  g_assert_cmpstr (sim_told ("wk-000001"), ==, "cancelled");
+  g_assert_cmpstr (sim_reported_state ("wk-000001"), ==, "cancelled");
   sim_cloud_outage (FALSE);
-  sim_machine_hang (machine, FALSE);
-  finish (200);
+  sim_machine_pause (machine, FALSE);
+  finish_and_check (200);
 }
 
 static void
@@ -1128,7 +1130,7 @@
 int
 main (int argc, char **argv)
 {
-  scenes_init (&argc, &argv);
+  fixture_init (&argc, &argv);
   g_test_add_func ("/meetings/zone-cut", test_zone_cut);
   g_test_add_func ("/meetings/ends-straddle", test_ends_straddle);
   g_test_add_func ("/meetings/late-writes", test_late_writes);
--- a/tests/test_overload.c
+++ b/tests/test_overload.c
@@ -1,6 +1,6 @@
 /* What a node must not spend its processor time on: the same command or deletion again and again.
  */
-#include "scenes.h"
+#include "fixture.h"
 
 /* What happened: jobs were cancelled on some hundred machines that then fell silent. Their owner
  * sent each machine a command a job, and from then on one more each second while the ones before
@@ -11,7 +11,7 @@
 static void
 test_one_command_a_machine (void)
 {
-  begin (&usual);
+  start_cluster (&default_options);
   for (guint i = 0; i < 6; i++) {
     g_autofree char *id = g_strdup_printf ("wk-%06u", i + 1);
     sim_submit (id, "team0", "normal", 8, 1, 100, 600);
@@ -20,16 +20,16 @@
   g_assert_cmpuint (sim_tasks_running (NULL), >=, 40);
   g_auto (GStrv) names = sim_machine_names (NULL);
   for (guint i = 0; names[i]; i++)
-    sim_machine_hang (names[i], TRUE);
+    sim_machine_pause (names[i], TRUE);
   for (guint i = 0; i < 6; i++) {
     g_autofree char *id = g_strdup_printf ("wk-%06u", i + 1);
-    sim_abort (id);
+    sim_cancel (id);
   }
   sim_run (10);
   for (guint i = 0; names[i]; i++)
-    sim_machine_hang (names[i], FALSE);
-  g_assert_cmpuint (sim_commands_at_once (), ==, 1);
-  finish (200);
+    sim_machine_pause (names[i], FALSE);
+  g_assert_cmpuint (sim_max_concurrent_commands (), ==, 1);
+  finish_and_check (200);
 }
 
 /* What happened: with the cloud out, the owner of a part asked it for the same deletions each
@@ -41,8 +41,8 @@
 static void
 refused_deletions (void)
 {
-  begin (&usual);
-  submit_some (16, 100);
+  start_cluster (&default_options);
+  submit_jobs (16, 100);
   sim_run (30);
   sim_cloud_outage (TRUE);
   g_auto (GStrv) names = sim_machine_names (NULL);
@@ -51,13 +51,13 @@
        i += 2, dead++) /* one that hears nobody blames itself */
     sim_machine_kill (names[i]);
   sim_run (60);
-  guint before = sim_deletions_refused ();
+  guint before = sim_refused_deletions ();
   sim_run (20);
-  guint asked = sim_deletions_refused () - before;
+  guint asked = sim_refused_deletions () - before;
   g_assert_cmpuint (asked, >, 0);
   g_assert_cmpuint (asked, <=, dead * (20 / 2 + 1));
   sim_cloud_outage (FALSE);
-  finish (300);
+  finish_and_check (300);
 }
 
 static void
@@ -69,7 +69,7 @@
 int
 main (int argc, char **argv)
 {
-  scenes_init (&argc, &argv);
+  fixture_init (&argc, &argv);
   g_test_add_func ("/overload/one-command-a-machine", test_one_command_a_machine);
   g_test_add_func ("/overload/refused-deletions", test_refused_deletions);
   return g_test_run ();
--- a/tests/test_races.c
+++ b/tests/test_races.c
@@ -1,7 +1,7 @@
 /* What arrives late, twice, unanswered or at the worst moment, in simulated time: commands,
  * reports, answers, questions and cancellations around takeovers. The stand-ins watch every rule;
  * docs/incidents/meetings.md lists these together with test_meetings.c. */
-#include "scenes.h"
+#include "fixture.h"
 
 /* One-task jobs come four a second for minutes, and a quarter of them is cancelled, at any moment
  * from before the first report to about the end. */
@@ -9,9 +9,9 @@
 small_jobs (void)
 {
   g_autoptr (GRand) random = g_rand_new_with_seed (seed);
-  SimOptions o = usual;
-  o.vary = 0.8;
-  begin (&o);
+  SimOptions o = default_options;
+  o.run_time_jitter = 0.8;
+  start_cluster (&o);
   for (guint i = 0; i < 480; i++) {
     g_autofree char *id = g_strdup_printf ("wk-01%04u", i);
     g_autofree char *team = g_strdup_printf ("team%u", i % 3);
@@ -20,12 +20,12 @@
     if (i % 4 == 3) {
       guint back = (guint) g_rand_int_range (random, 0, 40);
       g_autofree char *cancelled = g_strdup_printf ("wk-01%04u", i - MIN (i, back));
-      sim_abort (cancelled);
+      sim_cancel (cancelled);
     }
     if (i % 160 == 80)
-      crash (i % 3, 0.3);
+      crash_and_restart (i % 3, 0.3);
   }
-  finish (300);
+  finish_and_check (300);
 }
 
 static void
@@ -39,25 +39,25 @@
 static void
 quick_boots (void)
 {
-  SimOptions o = usual;
+  SimOptions o = default_options;
   o.boot_min_s = 0.2;
   o.boot_max_s = 2;
-  o.machines = 20;
-  o.vary = 0.5;
-  begin (&o);
+  o.max_machines = 20;
+  o.run_time_jitter = 0.5;
+  start_cluster (&o);
   for (guint i = 0; i < 9; i++) {
     g_autofree char *id = g_strdup_printf ("wk-0200%02u", i);
     g_autofree char *team = g_strdup_printf ("team%u", i % 3);
-    sim_state_slow (i % 2 ? 0.8 : 0.3);
-    sim_late_writes (i % 3 ? 0.3 : 0);
+    sim_state_delay (i % 2 ? 0.8 : 0.3);
+    sim_delay_commits (i % 3 ? 0.3 : 0);
     sim_submit (id, team, "normal", 30, 1, 10, 100);
     sim_run (0.7 + 0.3 * (i % 4));
-    crash (i % 3, i % 2 ? 0.2 : 7);
+    crash_and_restart (i % 3, i % 2 ? 0.2 : 7);
     sim_run (5);
   }
-  sim_late_writes (0);
-  sim_state_slow (0);
-  finish (400);
+  sim_delay_commits (0);
+  sim_state_delay (0);
+  finish_and_check (400);
 }
 
 static void
@@ -71,29 +71,29 @@
 static void
 late_commands (void)
 {
-  SimOptions o = usual;
-  o.vary = 0.5;
-  begin (&o);
-  sim_late_commands (0.5);
-  submit_some (50, 20);
+  SimOptions o = default_options;
+  o.run_time_jitter = 0.5;
+  start_cluster (&o);
+  sim_delay_commands (0.5);
+  submit_jobs (50, 20);
   sim_run (30);
   for (guint i = 0; i < 6; i++) {
     g_autofree char *id = g_strdup_printf ("wk-0300%02u", i);
     sim_submit (id, "team0", "urgent", 12, 1, 15, 60);
     sim_run (6);
     if (i % 2)
-      sim_abort (id);
+      sim_cancel (id);
     sim_run (0.3);
     if (i % 3 == 2)
-      sim_state_refuse (i % 2, TRUE);
+      sim_state_refuse_node (i % 2, TRUE);
     else
-      crash (i % 3, i % 2 ? 0.2 : 8);
+      crash_and_restart (i % 3, i % 2 ? 0.2 : 8);
     sim_run (9);
-    sim_state_refuse (0, FALSE);
-    sim_state_refuse (1, FALSE);
+    sim_state_refuse_node (0, FALSE);
+    sim_state_refuse_node (1, FALSE);
   }
-  sim_late_commands (0);
-  finish (400);
+  sim_delay_commands (0);
+  finish_and_check (400);
 }
 
 static void
@@ -107,22 +107,22 @@
 static void
 lost_answers (void)
 {
-  SimOptions o = usual;
-  o.close_looks = TRUE;
-  o.vary = 0.5;
-  begin (&o);
+  SimOptions o = default_options;
+  o.poll_after_change = TRUE;
+  o.run_time_jitter = 0.5;
+  start_cluster (&o);
   for (guint i = 0; i < 30; i++) {
     g_autofree char *id = g_strdup_printf ("wk-0400%02u", i);
     g_autofree char *team = g_strdup_printf ("team%u", i % 3);
-    sim_lose_commit_answers (1 + i % 3);
+    sim_drop_commit_responses (1 + i % 3);
     sim_submit (id, team, "normal", 2, 1, 6, 100);
     sim_run (1 + 0.1 * (i % 7));
     if (i % 3 == 1)
-      sim_abort (id);
+      sim_cancel (id);
     if (i % 10 == 5)
-      crash (i % 3, 0.2);
+      crash_and_restart (i % 3, 0.2);
   }
-  finish (200);
+  finish_and_check (200);
 }
 
 static void
@@ -136,20 +136,20 @@
 static void
 cancel_at_handover (double cancel_after_s)
 {
-  begin (&usual);
+  start_cluster (&default_options);
   sim_submit ("wk-000001", "team0", "normal", 16, 1, 500, 2000);
   sim_submit ("wk-000002", "team0", "normal", 16, 1, 500, 2000);
   sim_run (35);
-  crash (0, 9); /* another takes the part, and hands it back some 8 s after this */
+  crash_and_restart (0, 9); /* another takes the part, and hands it back some 8 s after this */
   sim_run (cancel_after_s);
-  sim_abort ("wk-000001");
+  sim_cancel ("wk-000001");
   sim_run (0.4);
-  sim_abort ("wk-000002");
+  sim_cancel ("wk-000002");
   sim_run (40);
-  g_assert_cmpstr (sim_told ("wk-000001"), ==, "cancelled");
-  g_assert_cmpstr (sim_told ("wk-000002"), ==, "cancelled");
+  g_assert_cmpstr (sim_reported_state ("wk-000001"), ==, "cancelled");
+  g_assert_cmpstr (sim_reported_state ("wk-000002"), ==, "cancelled");
   g_assert_cmpuint (sim_tasks_running (NULL), ==, 0);
-  finish (20);
+  finish_and_check (20);
 }
 
 static void
@@ -166,29 +166,29 @@
 static void
 close_looks (void)
 {
-  SimOptions o = usual;
-  o.close_looks = TRUE;
-  o.vary = 0.8;
-  begin (&o);
-  sim_state_slow (0.2);
+  SimOptions o = default_options;
+  o.poll_after_change = TRUE;
+  o.run_time_jitter = 0.8;
+  start_cluster (&o);
+  sim_state_delay (0.2);
   for (guint i = 0; i < 60; i++) {
     g_autofree char *id = g_strdup_printf ("wk-0500%02u", i);
     g_autofree char *team = g_strdup_printf ("team%u", i % 3);
     sim_submit (id, team, "normal", 1 + i % 2, 1, 5, 100);
     for (guint k = 0; k < 15; k++) {
       g_autofree char *path = g_strdup_printf ("/api/jobs/wk-0500%02u", (i + k) % 60);
-      sim_ask (k % 3, "GET", path, NULL);
+      sim_request_async (k % 3, "GET", path, NULL);
       sim_run (0.05);
     }
     if (i % 4 == 2) {
       g_autofree char *cancelled = g_strdup_printf ("wk-0500%02u", i / 2);
-      sim_abort (cancelled);
+      sim_cancel (cancelled);
     }
     if (i % 20 == 10)
-      crash (i % 3, i % 40 == 10 ? 0.2 : 8);
+      crash_and_restart (i % 3, i % 40 == 10 ? 0.2 : 8);
   }
-  sim_state_slow (0);
-  finish (300);
+  sim_state_delay (0);
+  finish_and_check (300);
 }
 
 static void
@@ -202,10 +202,10 @@
 static void
 old_reports (void)
 {
-  SimOptions o = usual;
-  o.vary = 0.5;
-  begin (&o);
-  submit_some (60, 12);
+  SimOptions o = default_options;
+  o.run_time_jitter = 0.5;
+  start_cluster (&o);
+  submit_jobs (60, 12);
   sim_run (35);
   for (guint i = 0; i < 9; i++) {
     const char *busiest = sim_busiest_machine ();
@@ -213,18 +213,18 @@
       sim_machine_kill (busiest);
     sim_node_kill (i % 3);
     sim_run (i % 2 ? 0.2 : 5.8);
-    sim_old_reports ();
+    sim_replay_old_reports ();
     if (i % 2)
       sim_node_start (i % 3);
     for (guint k = 0; k < 8; k++) {
       sim_run (0.5);
-      sim_old_reports ();
+      sim_replay_old_reports ();
     }
     if (i % 2 == 0)
       sim_node_start (i % 3);
     sim_run (8);
   }
-  finish (400);
+  finish_and_check (400);
 }
 
 static void
@@ -239,10 +239,10 @@
 static void
 teams_at_limits (void)
 {
-  SimOptions o = usual;
+  SimOptions o = default_options;
   o.team_limit = 16;
-  o.vary = 0.3;
-  begin (&o);
+  o.run_time_jitter = 0.3;
+  start_cluster (&o);
   for (guint i = 0; i < 9; i++) {
     g_autofree char *id = g_strdup_printf ("wk-0600%02u", i);
     g_autofree char *team = g_strdup_printf ("team%u", i % 3);
@@ -254,23 +254,23 @@
     g_auto (GStrv) all = sim_machine_names (NULL);
     for (guint k = 0; all[k] && k < 4; k++)
       if ((i + k) % 2)
-        sim_machine_hang (all[k], TRUE);
+        sim_machine_pause (all[k], TRUE);
       else
-        cut_off (all[k], SIM_HOLD);
+        set_machine_links (all[k], SIM_LINK_HOLD);
     for (guint k = 0; k < 3; k++) {
       g_autofree char *id = g_strdup_printf ("wk-0600%02u", 3 * i + k);
       if (k != i)
-        sim_abort (id);
+        sim_cancel (id);
     }
-    crash (i, i % 2 ? 0.3 : 8);
+    crash_and_restart (i, i % 2 ? 0.3 : 8);
     sim_run (10);
     for (guint k = 0; all[k]; k++) {
-      sim_machine_hang (all[k], FALSE);
-      cut_off (all[k], SIM_OPEN);
+      sim_machine_pause (all[k], FALSE);
+      set_machine_links (all[k], SIM_LINK_UP);
     }
     sim_run (12);
   }
-  finish (600);
+  finish_and_check (600);
 }
 
 static void
@@ -290,28 +290,28 @@
 static void
 old_event (gboolean cancel)
 {
-  SimOptions o = usual;
-  o.vary = 0.9;
-  begin (&o);
+  SimOptions o = default_options;
+  o.run_time_jitter = 0.9;
+  start_cluster (&o);
   sim_submit ("wk-000001", "team0", "normal", 24, 1, cancel ? 40 : 14, 600);
   sim_submit ("wk-000002", "team0", "normal", 6, 1, 90, 600); /* keeps machines with room */
   sim_run (18);
-  sim_watches_slow (6);
-  guint64 mark = sim_state_mark ("job/wk-000001");
-  for (guint i = 0; i < 200 && sim_state_mark ("job/wk-000001") == mark; i++)
+  sim_watch_delay (6);
+  guint64 mark = sim_state_revision ("job/wk-000001");
+  for (guint i = 0; i < 200 && sim_state_revision ("job/wk-000001") == mark; i++)
     sim_run (0.05);
   if (cancel)
-    sim_abort_at ("wk-000001", 0);
+    sim_cancel_at ("wk-000001", 0);
   for (guint i = 0; i < 1200 && sim_state_has ("job/wk-000001"); i++)
     sim_run (0.05);
   g_assert_false (sim_state_has ("job/wk-000001"));
-  guint started = sim_started ();
+  guint started = sim_tasks_started ();
   sim_run (15);
-  sim_watches_slow (0);
-  g_assert_cmpstr (sim_broken (), ==, "");
-  g_assert_cmpuint (sim_started (), ==, started);
-  g_assert_cmpstr (sim_told ("wk-000001"), ==, cancel ? "cancelled" : "done");
-  finish (200);
+  sim_watch_delay (0);
+  g_assert_cmpstr (sim_violations (), ==, "");
+  g_assert_cmpuint (sim_tasks_started (), ==, started);
+  g_assert_cmpstr (sim_reported_state ("wk-000001"), ==, cancel ? "cancelled" : "done");
+  finish_and_check (200);
 }
 
 static void
@@ -341,7 +341,7 @@
 int
 main (int argc, char **argv)
 {
-  scenes_init (&argc, &argv);
+  fixture_init (&argc, &argv);
   g_test_add_func ("/races/small-jobs", test_small_jobs);
   g_test_add_func ("/races/quick-boots", test_quick_boots);
   g_test_add_func ("/races/late-commands", test_late_commands);
--- a/tests/test_rebalance.c
+++ b/tests/test_rebalance.c
@@ -3,7 +3,7 @@
 
 #define PARTS 3
 
-static const KrType eight = { .name = (char *) "t", .cpus = 8, .mem_gb = 64 };
+static const KrMachineType eight = { .name = (char *) "t", .cpus = 8, .mem_gb = 64 };
 
 typedef struct {
   GPtrArray *supplies;
@@ -11,16 +11,16 @@
 } Fleet;
 
 static void
-add_machine (Fleet *fleet, gint part, gboolean up, double idle_s)
+add_machine (Fleet *fleet, gint shard, gboolean up, double idle_s)
 {
   KrSupply *machine = g_new0 (KrSupply, 1);
   machine->id = g_strdup_printf ("m%u", fleet->supplies->len);
   machine->type = &eight;
-  machine->part = part;
+  machine->shard = shard;
   machine->up = up;
   machine->idle_s = idle_s;
-  machine->rest_s = g_test_rand_double_range (0, 30);
-  machine->to = -1;
+  machine->drain_s = g_test_rand_double_range (0, 30);
+  machine->target_shard = -1;
   g_ptr_array_add (fleet->supplies, machine);
 }
 
@@ -28,7 +28,7 @@
 count_move (const KrSupply *machine, guint to, gpointer data)
 {
   Fleet *fleet = data;
-  g_assert_cmpint (machine->to, ==, (gint) to == machine->part ? -1 : (gint) to);
+  g_assert_cmpint (machine->target_shard, ==, (gint) to == machine->shard ? -1 : (gint) to);
   fleet->moves++;
 }
 
@@ -37,7 +37,7 @@
 {
   const char *const zones[PARTS] = { "z", "z", "z" };
   const gboolean waiting[PARTS] = { TRUE, TRUE, TRUE };
-  const KrRebalance in = { PARTS, targets, zones, waiting, TRUE };
+  const KrRebalanceInput in = { PARTS, targets, zones, waiting, TRUE };
   fleet->moves = 0;
   kr_rebalance (&in, fleet->supplies, count_move, fleet);
   return fleet->moves;
@@ -50,19 +50,19 @@
   guint moves = decide (fleet, targets);
   for (guint i = 0; i < fleet->supplies->len; i++) {
     KrSupply *machine = fleet->supplies->pdata[i];
-    if (machine->to >= 0)
-      machine->part = machine->to;
-    machine->to = -1;
+    if (machine->target_shard >= 0)
+      machine->shard = machine->target_shard;
+    machine->target_shard = -1;
   }
   return moves;
 }
 
 static guint
-going_to (const Fleet *fleet, gint part)
+going_to (const Fleet *fleet, gint shard)
 {
   guint n = 0;
   for (guint i = 0; i < fleet->supplies->len; i++)
-    n += ((KrSupply *) fleet->supplies->pdata[i])->to == part;
+    n += ((KrSupply *) fleet->supplies->pdata[i])->target_shard == shard;
   return n;
 }
 
@@ -78,9 +78,9 @@
     double targets[PARTS] = { 0 }, left = machines * eight.cpus;
     for (guint i = 0; i < machines; i++)
       add_machine (&fleet, g_test_rand_int_range (0, PARTS), FALSE, -1);
-    for (guint part = 0; part + 1 < PARTS; part++) {
-      targets[part] = 4 * g_test_rand_int_range (0, (gint) (left / 4) + 1);
-      left -= targets[part];
+    for (guint shard = 0; shard + 1 < PARTS; shard++) {
+      targets[shard] = 4 * g_test_rand_int_range (0, (gint) (left / 4) + 1);
+      left -= targets[shard];
     }
     targets[PARTS - 1] = left;
     play_round (&fleet, targets);
@@ -88,12 +88,12 @@
     g_assert_cmpuint (play_round (&fleet, targets), ==, 0);
     /* None is further from its share than a machine, but where others keep their last one. */
     double have[PARTS];
-    kr_rebalance_count (fleet.supplies, PARTS, have);
-    for (guint part = 0; part < PARTS; part++) {
-      g_assert_cmpfloat (have[part], <, targets[part] + eight.cpus);
-      for (guint other = 0; have[part] <= targets[part] - eight.cpus && other < PARTS; other++)
+    kr_rebalance_count_cpus (fleet.supplies, PARTS, have);
+    for (guint shard = 0; shard < PARTS; shard++) {
+      g_assert_cmpfloat (have[shard], <, targets[shard] + eight.cpus);
+      for (guint other = 0; have[shard] <= targets[shard] - eight.cpus && other < PARTS; other++)
         g_assert_true (have[other] <= targets[other] || have[other] <= eight.cpus);
-      g_assert_true (have[part] > 0 || targets[part] <= 0 || machines < PARTS);
+      g_assert_true (have[shard] > 0 || targets[shard] <= 0 || machines < PARTS);
     }
     g_ptr_array_unref (fleet.supplies);
   }
@@ -113,7 +113,7 @@
   g_assert_cmpuint (going_to (&fleet, 2), ==, 4);
   g_assert_cmpuint (decide (&fleet, wanted), ==, 0); /* nothing new to say */
   double have[PARTS];
-  kr_rebalance_count (fleet.supplies, PARTS, have);
+  kr_rebalance_count_cpus (fleet.supplies, PARTS, have);
   g_assert_cmpfloat (have[2], ==, 64); /* what is rented goes there, not to the others */
   for (guint i = 0; i < 4; i++)
     add_machine (&fleet, 2, FALSE, -1);
--- a/tests/test_service.c
+++ b/tests/test_service.c
@@ -1,13 +1,13 @@
 /* Whole nodes in simulated time against stand-ins; each test is one failure and what must hold. */
-#include "scenes.h"
+#include "fixture.h"
 #include <string.h>
 
 static void
 test_quiet (void)
 {
-  begin (&usual);
-  submit_some (20, 10);
-  finish (200);
+  start_cluster (&default_options);
+  submit_jobs (20, 10);
+  finish_and_check (200);
 }
 
 /* Half of the machines are gone at once, when the cloud had none left for long: others are rented
@@ -15,31 +15,31 @@
 static void
 test_replaced (void)
 {
-  SimOptions o = usual;
-  o.machines = 30;
-  begin (&o);
-  submit_some (900, 20);
+  SimOptions o = default_options;
+  o.max_machines = 30;
+  start_cluster (&o);
+  submit_jobs (900, 20);
   sim_run (125); /* pauses double: the last refusal is 10 s old, the next look 50 s off */
-  g_assert_cmpuint (sim_machines (), ==, 30);
+  g_assert_cmpuint (sim_machine_count (), ==, 30);
   for (guint i = 0; i < 15; i++)
     sim_machine_kill (sim_busiest_machine ());
   sim_run (25); /* a list, its lag twice, and some */
-  g_assert_cmpuint (sim_machines (), >=, 28);
-  finish (900);
+  g_assert_cmpuint (sim_machine_count (), >=, 28);
+  finish_and_check (900);
 }
 
 /* Idle machines go back, and the last ones too. */
 static void
 test_machines_returned (void)
 {
-  SimOptions o = usual;
-  o.copies = 0.5; /* late copies of what they reported bring none of them back */
-  begin (&o);
-  submit_some (10, 10);
+  SimOptions o = default_options;
+  o.duplicate_reports = 0.5; /* late copies of what they reported bring none of them back */
+  start_cluster (&o);
+  submit_jobs (10, 10);
   sim_run (150);
-  g_assert_true (sim_all_over ());
-  assert_all_returned ();
-  finish (0);
+  g_assert_true (sim_all_jobs_finished ());
+  assert_all_machines_released ();
+  finish_and_check (0);
 }
 
 /* Something late (a copy of an earlier life's request, which ended with that life's lease) took a
@@ -47,13 +47,13 @@
 static void
 test_presence_comes_back (void)
 {
-  begin (&usual);
+  start_cluster (&default_options);
   g_assert_true (sim_state_has ("c/node/berth-1"));
   sim_state_remove ("c/node/berth-1");
   sim_run (3);
   g_assert_true (sim_state_has ("c/node/berth-1"));
-  submit_some (5, 5);
-  finish (100);
+  submit_jobs (5, 5);
+  finish_and_check (100);
 }
 
 /* An owner cut off from the state service goes on serving its machines while another takes over:
@@ -61,13 +61,13 @@
 static void
 test_takeover_with_owner_alive (void)
 {
-  begin (&usual);
-  submit_some (40, 15);
+  start_cluster (&default_options);
+  submit_jobs (40, 15);
   sim_run (40);
-  sim_cut_both ("n0", "state", SIM_DROP);
+  sim_set_link_both ("n0", "state", SIM_LINK_DROP);
   sim_run (40);
-  sim_cut_both ("n0", "state", SIM_OPEN);
-  finish (400);
+  sim_set_link_both ("n0", "state", SIM_LINK_UP);
+  finish_and_check (400);
 }
 
 /* The successor reaches one machine, but not another, nor the cloud; the old owner, without the
@@ -76,18 +76,18 @@
 static void
 owner_with_workers_only (void)
 {
-  begin (&usual);
+  start_cluster (&default_options);
   sim_submit ("wk-000001", "team0", "normal", 20, 1, 90, 600);
   sim_run (45);
-  g_autofree char *kept = g_strdup (sim_idlest_machine ());
+  g_autofree char *kept = g_strdup (sim_least_busy_machine ());
   g_assert_nonnull (kept);
-  sim_cut_both ("n0", "state", SIM_DROP);
-  cut_successors (kept, SIM_DROP);
+  sim_set_link_both ("n0", "state", SIM_LINK_DROP);
+  set_successor_links (kept, SIM_LINK_DROP);
   sim_run (60);
-  g_assert_cmpstr (sim_broken (), ==, "");
-  cut_successors (kept, SIM_OPEN);
-  sim_cut_both ("n0", "state", SIM_OPEN);
-  finish (600);
+  g_assert_cmpstr (sim_violations (), ==, "");
+  set_successor_links (kept, SIM_LINK_UP);
+  sim_set_link_both ("n0", "state", SIM_LINK_UP);
+  finish_and_check (600);
 }
 
 /* Whether the second machine has room for what the first runs hangs on the seed: some more of them.
@@ -102,37 +102,37 @@
 static void
 test_delayed_messages (void)
 {
-  begin (&usual);
-  submit_some (40, 15);
+  start_cluster (&default_options);
+  submit_jobs (40, 15);
   sim_run (40);
-  sim_cut_both ("n1", "state", SIM_HOLD);
+  sim_set_link_both ("n1", "state", SIM_LINK_HOLD);
   sim_run (10);
   g_autofree char *m = g_strdup (sim_busiest_machine ());
   g_assert_nonnull (m);
-  cut_off (m, SIM_HOLD);
+  set_machine_links (m, SIM_LINK_HOLD);
   sim_run (25);
-  cut_off (m, SIM_OPEN);
-  sim_cut_both ("n1", "state", SIM_OPEN);
-  finish (400);
+  set_machine_links (m, SIM_LINK_UP);
+  sim_set_link_both ("n1", "state", SIM_LINK_UP);
+  finish_and_check (400);
 }
 
 static void
 test_lost_commit_answers (void)
 {
-  begin (&usual);
-  sim_lose_commit_answers (4);
-  submit_some (20, 10);
+  start_cluster (&default_options);
+  sim_drop_commit_responses (4);
+  submit_jobs (20, 10);
   sim_run (30);
-  sim_abort ("wk-000001");
-  sim_lose_commit_answers (2);
-  finish (300);
+  sim_cancel ("wk-000001");
+  sim_drop_commit_responses (2);
+  finish_and_check (300);
 }
 
 static void
 state_outage (void)
 {
-  begin (&usual);
-  submit_some (40, 15);
+  start_cluster (&default_options);
+  submit_jobs (40, 15);
   sim_run (20);
   sim_node_kill (2); /* its renewals come at other moments than the others' */
   sim_run (0.7);
@@ -161,7 +161,7 @@
     g_assert_cmpuint (sim_request (i % 2, "GET", "/ready", NULL), ==, 200);
   }
   sim_state_outage (FALSE);
-  finish (400);
+  finish_and_check (400);
 }
 
 static void
@@ -174,43 +174,43 @@
 static void
 test_state_slow (void)
 {
-  begin (&usual);
-  sim_state_slow (0.8);
-  submit_some (40, 15);
+  start_cluster (&default_options);
+  sim_state_delay (0.8);
+  submit_jobs (40, 15);
   sim_run (30);
   g_assert_cmpuint (sim_tasks_running (NULL), >, 0);
   sim_node_kill (1);
   sim_run (3);
   sim_node_start (1);
   sim_run (30);
-  sim_state_slow (0);
-  finish (300);
+  sim_state_delay (0);
+  finish_and_check (300);
 }
 
 /* A single node is refused by the state service while the others are served. */
 static void
 test_state_refuses_one (void)
 {
-  begin (&usual);
-  submit_some (40, 15);
+  start_cluster (&default_options);
+  submit_jobs (40, 15);
   sim_run (30);
-  sim_state_refuse (2, TRUE);
+  sim_state_refuse_node (2, TRUE);
   sim_run (20);
   /* It leaves the balancer, since its peers are served: unlike in an outage for all. */
   g_assert_cmpuint (sim_request (2, "GET", "/ready", NULL), ==, 503);
   g_assert_cmpuint (sim_request (1, "GET", "/ready", NULL), ==, 200);
   sim_run (40);
-  sim_state_refuse (2, FALSE);
+  sim_state_refuse_node (2, FALSE);
   sim_run (5);
   g_assert_cmpuint (sim_request (2, "GET", "/ready", NULL), ==, 200);
-  finish (400);
+  finish_and_check (400);
 }
 
 static void
 test_restart_at_once (void)
 {
-  begin (&usual);
-  submit_some (40, 15);
+  start_cluster (&default_options);
+  submit_jobs (40, 15);
   sim_run (30);
   for (guint i = 0; i < 3; i++) {
     sim_node_kill (i);
@@ -218,17 +218,17 @@
     sim_node_start (i);
     sim_run (3);
   }
-  finish (300);
+  finish_and_check (300);
 }
 
 static void
 test_all_crash (void)
 {
-  begin (&usual);
-  submit_some (40, 15);
+  start_cluster (&default_options);
+  submit_jobs (40, 15);
   sim_run (30);
-  crash_all (usual.nodes, 20);
-  finish (300);
+  crash_and_restart_all (default_options.nodes, 20);
+  finish_and_check (300);
 }
 
 /* All nodes were away for longer than their keys last, and some machines cannot be reached. No
@@ -236,17 +236,17 @@
 static void
 test_crash_with_machines_cut_off (void)
 {
-  begin (&usual);
-  submit_some (40, 15);
+  start_cluster (&default_options);
+  submit_jobs (40, 15);
   sim_run (40);
 
   g_autofree char *m = g_strdup (sim_busiest_machine ());
-  cut_off (m, SIM_DROP);
-  crash_all (usual.nodes, 8);
+  set_machine_links (m, SIM_LINK_DROP);
+  crash_and_restart_all (default_options.nodes, 8);
   sim_run (20);
-  g_assert_true (sim_machine_lives (m));
-  cut_off (m, SIM_OPEN);
-  finish (400);
+  g_assert_true (sim_machine_alive (m));
+  set_machine_links (m, SIM_LINK_UP);
+  finish_and_check (400);
 }
 
 /* A home node that no machine reaches hands its part on, once: it is not handed back while the home
@@ -254,49 +254,49 @@
 static void
 test_home_without_workers (void)
 {
-  begin (&usual);
+  start_cluster (&default_options);
   sim_submit ("wk-000001", "team0", "normal", 400, 1, 20, 900);
   sim_run (40);
-  cut_workers ("n0", SIM_DROP);
+  set_worker_links ("n0", SIM_LINK_DROP);
   sim_run (18);
-  guint64 token = sim_state_mark ("c/owner/0");
+  guint64 token = sim_state_revision ("c/owner/0");
   for (guint i = 0; i < 8; i++) {
     sim_run (2);
     g_assert_cmpuint (sim_tasks_running (NULL), >, 0);
   }
-  g_assert_cmpuint (sim_state_mark ("c/owner/0"), ==, token);
-  cut_workers ("n0", SIM_OPEN);
-  finish (400);
+  g_assert_cmpuint (sim_state_revision ("c/owner/0"), ==, token);
+  set_worker_links ("n0", SIM_LINK_UP);
+  finish_and_check (400);
 }
 
 /* One node stays away: its part goes to another. */
 static void
 test_node_lost (void)
 {
-  begin (&usual);
-  submit_some (40, 15);
+  start_cluster (&default_options);
+  submit_jobs (40, 15);
   sim_run (30);
   sim_node_kill (0);
-  finish (400);
+  finish_and_check (400);
 }
 
 static void
 test_cancel_unreachable (void)
 {
-  begin (&usual);
-  submit_some (30, 300);
+  start_cluster (&default_options);
+  submit_jobs (30, 300);
   sim_run (40);
   g_autofree char *m = g_strdup (sim_busiest_machine ());
   g_assert_nonnull (m);
-  cut_off (m, SIM_DROP);
-  sim_abort ("wk-000001");
-  sim_abort ("wk-000002");
-  sim_abort ("wk-000003");
+  set_machine_links (m, SIM_LINK_DROP);
+  sim_cancel ("wk-000001");
+  sim_cancel ("wk-000002");
+  sim_cancel ("wk-000003");
   sim_run (60);
-  g_assert_cmpstr (sim_told ("wk-000001"), ==, "cancelled");
+  g_assert_cmpstr (sim_reported_state ("wk-000001"), ==, "cancelled");
   g_assert_cmpuint (sim_tasks_running ("wk-000001"), ==, 0);
   g_assert_cmpuint (sim_tasks_running ("wk-000003"), ==, 0);
-  finish (60);
+  finish_and_check (60);
 }
 
 /* Three jobs of team0 with tasks that run for long, on machines of part 0, whose owner is n0. */
@@ -312,7 +312,7 @@
 static void
 begin_cancel (void)
 {
-  begin (&usual);
+  start_cluster (&default_options);
   submit_long ();
   sim_run (40);
   g_assert_cmpuint (sim_tasks_running (NULL), ==, 48);
@@ -321,9 +321,9 @@
 static void
 abort_all (void)
 {
-  sim_abort ("wk-000001");
-  sim_abort ("wk-000002");
-  sim_abort ("wk-000003");
+  sim_cancel ("wk-000001");
+  sim_cancel ("wk-000002");
+  sim_cancel ("wk-000003");
 }
 
 static guint
@@ -332,7 +332,7 @@
   guint n = 0;
   for (guint i = 1; i <= 3; i++) {
     g_autofree char *id = g_strdup_printf ("wk-00000%u", i);
-    n += g_str_equal (sim_told (id), "cancelled");
+    n += g_str_equal (sim_reported_state (id), "cancelled");
   }
   return n;
 }
@@ -351,7 +351,7 @@
 cancel_gap (double cancel_at, double outage_at, guint node)
 {
   begin_cancel ();
-  sim_state_refuse (node, TRUE);
+  sim_state_refuse_node (node, TRUE);
   sim_run (MIN (cancel_at, outage_at));
   if (cancel_at < outage_at) {
     abort_all ();
@@ -361,12 +361,12 @@
   if (cancel_at >= outage_at)
     abort_all ();
   sim_run (60);
-  g_assert_cmpstr (sim_broken (), ==, "");
+  g_assert_cmpstr (sim_violations (), ==, "");
   sim_state_outage (FALSE);
-  sim_state_refuse (node, FALSE);
+  sim_state_refuse_node (node, FALSE);
   sim_run (20);
   g_assert_cmpuint (told_cancelled (), ==, 3);
-  finish (60);
+  finish_and_check (60);
 }
 
 static void
@@ -379,7 +379,7 @@
     cancel_gap (outage_at[i], outage_at[i], 0);
   }
   seed -= G_N_ELEMENTS (outage_at);
-  for (guint i = 1; i < usual.nodes; i++) /* one of them leads */
+  for (guint i = 1; i < default_options.nodes; i++) /* one of them leads */
     cancel_gap (0.1, 1.5, i);
 }
 
@@ -389,17 +389,17 @@
 test_cancel_prompt (void)
 {
   begin_cancel ();
-  sim_state_refuse (0, TRUE);
+  sim_state_refuse_node (0, TRUE);
   sim_run (0.5);
-  sim_abort_at ("wk-000001", 1);
-  sim_abort_at ("wk-000002", 2);
-  sim_abort_at ("wk-000003", 1);
+  sim_cancel_at ("wk-000001", 1);
+  sim_cancel_at ("wk-000002", 2);
+  sim_cancel_at ("wk-000003", 1);
   sim_run (0.2);
   g_assert_cmpuint (told_cancelled (), ==, 3);
-  sim_state_refuse (0, FALSE);
+  sim_state_refuse_node (0, FALSE);
   sim_run (3);
   g_assert_cmpuint (sim_tasks_running (NULL), ==, 0);
-  finish (20);
+  finish_and_check (20);
 }
 
 /* The owner ends right after its word, its kills are lost, and the state service is out before its
@@ -409,31 +409,31 @@
 owner_ends_after_word (const char *key, double outage_after_s)
 {
   begin_cancel ();
-  sim_state_slow (0.3);
+  sim_state_delay (0.3);
   for (guint i = 0; i < 12; i++) {
     g_autofree char *m = g_strdup_printf ("host-%06u", i);
-    sim_cut ("n0", m, SIM_DROP);
+    sim_set_link ("n0", m, SIM_LINK_DROP);
   }
   abort_all ();
   until_told (10);
   g_assert_cmpuint (told_cancelled (), >, 0);
   sim_node_kill (0);
-  guint64 before = sim_state_mark (key), now = before;
+  guint64 before = sim_state_revision (key), now = before;
   for (guint i = 0; i < 4000 && (!now || now == before); i++) {
     sim_run (0.005);
-    now = sim_state_mark (key);
+    now = sim_state_revision (key);
   }
   sim_run (outage_after_s);
   sim_state_outage (TRUE);
   sim_run (60);
-  g_assert_cmpstr (sim_broken (), ==, "");
+  g_assert_cmpstr (sim_violations (), ==, "");
   sim_state_outage (FALSE);
   sim_node_start (0);
-  sim_state_slow (0);
-  cut_workers ("n0", SIM_OPEN);
+  sim_state_delay (0);
+  set_worker_links ("n0", SIM_LINK_UP);
   sim_run (20);
   g_assert_cmpuint (told_cancelled (), ==, 3);
-  finish (60);
+  finish_and_check (60);
 }
 
 static void
@@ -453,22 +453,22 @@
 cancel_stale_view (void)
 {
   begin_cancel ();
-  sim_cut_both ("n0", "state", SIM_DROP);
-  sim_state_refuse (2, TRUE);
+  sim_set_link_both ("n0", "state", SIM_LINK_DROP);
+  sim_state_refuse_node (2, TRUE);
   sim_run (20); /* n1 has taken the part over */
-  sim_state_refuse (1, TRUE);
-  sim_state_refuse (2, FALSE);
-  sim_abort_at ("wk-000001", 2);
+  sim_state_refuse_node (1, TRUE);
+  sim_state_refuse_node (2, FALSE);
+  sim_cancel_at ("wk-000001", 2);
   sim_run (1);
-  g_assert_cmpstr (sim_told ("wk-000001"), ==, "cancelled");
+  g_assert_cmpstr (sim_reported_state ("wk-000001"), ==, "cancelled");
   sim_state_outage (TRUE);
   sim_run (60);
-  g_assert_cmpstr (sim_broken (), ==, "");
+  g_assert_cmpstr (sim_violations (), ==, "");
   sim_state_outage (FALSE);
-  sim_state_refuse (1, FALSE);
-  sim_cut_both ("n0", "state", SIM_OPEN);
+  sim_state_refuse_node (1, FALSE);
+  sim_set_link_both ("n0", "state", SIM_LINK_UP);
   abort_all ();
-  finish (120);
+  finish_and_check (120);
 }
 
 static void
@@ -484,17 +484,17 @@
 {
   begin_cancel ();
   g_autofree char *kept = g_strdup (sim_machine_of ("wk-000001"));
-  sim_cut_both ("n0", "state", SIM_DROP);
-  cut_successors (kept, SIM_DROP);
+  sim_set_link_both ("n0", "state", SIM_LINK_DROP);
+  set_successor_links (kept, SIM_LINK_DROP);
   abort_all ();
   sim_run (70);
   g_assert_cmpuint (told_cancelled (), ==, 0);
   g_assert_cmpuint (sim_tasks_running (NULL), >, 0);
-  cut_successors (kept, SIM_OPEN);
+  set_successor_links (kept, SIM_LINK_UP);
   sim_run (30);
   g_assert_cmpuint (told_cancelled (), ==, 3);
-  sim_cut_both ("n0", "state", SIM_OPEN);
-  finish (60);
+  sim_set_link_both ("n0", "state", SIM_LINK_UP);
+  finish_and_check (60);
 }
 
 /* A machine stands still when the kill comes, within its lease or beyond it, or hears nothing, or
@@ -503,9 +503,9 @@
 static void
 cancel_on_machine (guint trouble, double for_s, double after_s)
 {
-  SimOptions o = usual;
-  o.fetch_s = 4;
-  begin (&o);
+  SimOptions o = default_options;
+  o.image_pull_s = 4;
+  start_cluster (&o);
   submit_long ();
   sim_submit ("wk-000009", "team1", "normal", 2, 1, 5, 600);
   for (guint i = 0; i < 800 && !sim_machine_of ("wk-000001"); i++)
@@ -514,19 +514,19 @@
   g_autofree char *m = g_strdup (sim_machine_of ("wk-000001"));
   g_assert_nonnull (m);
   if (trouble == 0)
-    sim_machine_hang (m, TRUE);
+    sim_machine_pause (m, TRUE);
   else if (trouble == 1)
-    sim_machine_mute (m, TRUE);
+    sim_machine_stop_reports (m, TRUE);
   else
-    deafen (m, SIM_DROP);
+    set_links_to_machine (m, SIM_LINK_DROP);
   abort_all ();
   sim_run (for_s);
-  sim_machine_hang (m, FALSE);
-  sim_machine_mute (m, FALSE);
-  cut_off (m, SIM_OPEN);
+  sim_machine_pause (m, FALSE);
+  sim_machine_stop_reports (m, FALSE);
+  set_machine_links (m, SIM_LINK_UP);
   sim_run (60);
   g_assert_cmpuint (told_cancelled (), ==, 3);
-  finish (20);
+  finish_and_check (20);
 }
 
 static void
@@ -543,21 +543,21 @@
 {
   begin_cancel ();
   const char *question = "{\"Part\":%d,\"Job\":\"%s\",\"Owner\":%u,\"Revision\":1}";
-  guint token = (guint) sim_state_mark ("c/owner/0");
+  guint token = (guint) sim_state_revision ("c/owner/0");
   g_autofree char *good = g_strdup_printf (question, 0, "wk-000001", token);
   g_autofree char *newer = g_strdup_printf (question, 0, "wk-000002", token + 1);
   g_autofree char *nothing = g_strdup_printf (question, 0, "wk-000009", token);
   g_autofree char *no_part = g_strdup_printf (question, 7, "wk-000001", token);
   g_autofree char *negative = g_strdup_printf (question, -1, "wk-000001", token);
-  g_assert_cmpuint (sim_peer (1, "POST", "/cancellations", good), ==, 409);
-  g_assert_cmpuint (sim_peer (0, "POST", "/cancellations", newer), ==, 409);
-  g_assert_cmpuint (sim_peer (0, "POST", "/cancellations", nothing), ==, 404);
-  g_assert_cmpuint (sim_peer (0, "POST", "/cancellations", no_part), ==, 409);
-  g_assert_cmpuint (sim_peer (0, "POST", "/cancellations", negative), ==, 409);
-  g_assert_cmpuint (sim_peer (0, "POST", "/cancellations", "{\"Part\":0}"), ==, 400);
-  g_assert_cmpuint (sim_peer (0, "POST", "/cancellations", NULL), ==, 400);
+  g_assert_cmpuint (sim_peer_request (1, "POST", "/cancellations", good), ==, 409);
+  g_assert_cmpuint (sim_peer_request (0, "POST", "/cancellations", newer), ==, 409);
+  g_assert_cmpuint (sim_peer_request (0, "POST", "/cancellations", nothing), ==, 404);
+  g_assert_cmpuint (sim_peer_request (0, "POST", "/cancellations", no_part), ==, 409);
+  g_assert_cmpuint (sim_peer_request (0, "POST", "/cancellations", negative), ==, 409);
+  g_assert_cmpuint (sim_peer_request (0, "POST", "/cancellations", "{\"Part\":0}"), ==, 400);
+  g_assert_cmpuint (sim_peer_request (0, "POST", "/cancellations", NULL), ==, 400);
   g_assert_cmpuint (sim_tasks_running (NULL), ==, 48);
-  g_assert_cmpuint (sim_peer (0, "POST", "/cancellations", good), ==, 200);
+  g_assert_cmpuint (sim_peer_request (0, "POST", "/cancellations", good), ==, 200);
   sim_run (1); /* its kills went out */
   g_assert_cmpuint (sim_tasks_running ("wk-000001"), ==, 0);
   g_assert_cmpuint (sim_tasks_running (NULL), ==, 32);
@@ -568,10 +568,10 @@
 static void
 test_limit_in_doubt (void)
 {
-  SimOptions o = usual;
+  SimOptions o = default_options;
   o.team_limit = 10;
-  begin (&o);
-  submit_some (60, 4);
+  start_cluster (&o);
+  submit_jobs (60, 4);
   for (guint i = 0; i < 12; i++) {
     sim_run (10);
     const char *m = sim_busiest_machine ();
@@ -579,21 +579,22 @@
       continue;
     g_autofree char *id = g_strdup (m);
     char node[] = { 'n', (char) ('0' + i % 3), 0 };
-    sim_cut (node, id, i % 2 ? SIM_DROP : SIM_HOLD); /* answers are lost, reports are not */
+    sim_set_link (node, id,
+                  i % 2 ? SIM_LINK_DROP : SIM_LINK_HOLD); /* answers are lost, reports are not */
     sim_run (3);
-    sim_cut (node, id, SIM_OPEN);
+    sim_set_link (node, id, SIM_LINK_UP);
   }
-  finish (600);
+  finish_and_check (600);
 }
 
 static void
 test_machine_lost (void)
 {
-  begin (&usual);
-  submit_some (30, 20);
+  start_cluster (&default_options);
+  submit_jobs (30, 20);
   sim_run (30);
   sim_machine_kill (sim_busiest_machine ());
-  finish (300);
+  finish_and_check (300);
 }
 
 /* A machine that came up gets its first tasks in the answer to its first report, not a whole report
@@ -601,64 +602,64 @@
 static void
 test_first_report (void)
 {
-  SimOptions o = usual;
+  SimOptions o = default_options;
   o.report_s = 8;
   o.lease_s = 40;
   o.cancel_s = 80;
-  begin (&o);
-  sim_state_slow (0.8); /* the record takes longer than the half second after a new token */
+  start_cluster (&o);
+  sim_state_delay (0.8); /* the record takes longer than the half second after a new token */
   sim_submit ("wk-000001", "team0", "normal", 200, 1, 60, 100);
   sim_run (25);
   g_assert_cmpuint (sim_tasks_running (NULL), ==, 64);
-  g_assert_cmpfloat (sim_slowest_begin (), <, 4);
-  sim_state_slow (0);
-  finish (400);
+  g_assert_cmpfloat (sim_longest_wait_for_task (), <, 4);
+  sim_state_delay (0);
+  finish_and_check (400);
 }
 
 /* Silent for less than its lease, a machine keeps its tasks: none may start elsewhere. */
 static void
 test_silent_within_lease (void)
 {
-  begin (&usual);
-  submit_some (30, 40);
+  start_cluster (&default_options);
+  submit_jobs (30, 40);
   sim_run (40);
   g_autofree char *m = g_strdup (sim_busiest_machine ());
-  cut_off (m, SIM_DROP);
+  set_machine_links (m, SIM_LINK_DROP);
   sim_run (10);
-  cut_off (m, SIM_OPEN);
-  finish (400);
+  set_machine_links (m, SIM_LINK_UP);
+  finish_and_check (400);
 }
 
 /* A machine that fails whatever it starts is drained; the jobs are not blamed for it. */
 static void
 test_sick_machine (void)
 {
-  begin (&usual);
-  submit_some (40, 10);
+  start_cluster (&default_options);
+  submit_jobs (40, 10);
   sim_run (30);
-  sim_machine_sick (sim_busiest_machine (), TRUE);
-  finish (400);
+  sim_machine_fail_tasks (sim_busiest_machine (), TRUE);
+  finish_and_check (400);
 }
 
 /* A machine that takes six times as long goes back while there is still work. */
 static void
 test_slow_machine (void)
 {
-  begin (&usual);
-  submit_some (500, 5);
+  start_cluster (&default_options);
+  submit_jobs (500, 5);
   sim_run (25);
   g_autofree char *m = g_strdup (sim_busiest_machine ());
-  sim_machine_slow (m, 6);
+  sim_machine_slow_down (m, 6);
   sim_run (100);
-  g_assert_false (sim_all_over ());
-  g_assert_false (sim_machine_lives (m));
-  finish (600);
+  g_assert_false (sim_all_jobs_finished ());
+  g_assert_false (sim_machine_alive (m));
+  finish_and_check (600);
 }
 
 static guint
 submit_with (guint node, const char *field, const char *value)
 {
-  g_autofree char *body = job_with (field, value);
+  g_autofree char *body = job_json_with (field, value);
   return sim_request (node, "POST", "/api/jobs", body);
 }
 
@@ -680,10 +681,10 @@
                                    { "MemGb", "65" },        { "Accelerators", "1" },
                                    { "Hulls", "[\"t9\"]" },  { "Harbor", "\"z2\"" },
                                    { "Cores", "8.5" } };
-  SimOptions o = usual;
+  SimOptions o = default_options;
   o.team_limit = 8;
   o.zones = 2;
-  begin (&o);
+  start_cluster (&o);
   for (guint i = 0; i < G_N_ELEMENTS (needed); i++)
     g_assert_cmpuint (submit_with (0, needed[i], NULL), ==, 400);
   for (guint i = 0; i < G_N_ELEMENTS (invalid); i++)
@@ -712,7 +713,7 @@
   g_assert_cmpuint (sim_request (0, "GET", "/api/jobs/../x", NULL), ==, 404);
   sim_run (10);
   g_assert_cmpuint (submit_with (0, NULL, NULL), ==, 200); /* long over */
-  g_assert_cmpstr (sim_broken (), ==, "");
+  g_assert_cmpstr (sim_violations (), ==, "");
   sim_stop ();
 }
 
@@ -721,19 +722,19 @@
 static void
 test_deaf_machine (void)
 {
-  begin (&usual);
+  start_cluster (&default_options);
   sim_submit ("wk-000001", "team0", "normal", 16, 1, 60, 600);
   sim_run (35);
   g_autofree char *m = g_strdup (sim_busiest_machine ());
   g_assert_nonnull (m);
-  deafen (m, SIM_DROP);
+  set_links_to_machine (m, SIM_LINK_DROP);
   /* Late, so that every machine is wanted: what is not goes back before it hears nothing. */
   sim_submit ("wk-000002", "team0", "normal", 900, 1, 10, 30);
   sim_run (120);
-  g_test_message ("unheard %u", sim_unheard (m));
-  g_assert_cmpuint (sim_unheard (m), >, 0);
-  g_assert_cmpuint (sim_unheard (m), <=, 32); /* pauses of 2, 16 and 128 s: four rounds of 8 */
-  finish (300);
+  g_test_message ("unheard %u", sim_runs_lost (m));
+  g_assert_cmpuint (sim_runs_lost (m), >, 0);
+  g_assert_cmpuint (sim_runs_lost (m), <=, 32); /* pauses of 2, 16 and 128 s: four rounds of 8 */
+  finish_and_check (300);
 }
 
 /* Copies of reports come late, up to many leases, also after restarts and to those who own the part
@@ -741,25 +742,25 @@
 static void
 test_late_copies (void)
 {
-  SimOptions o = usual;
-  o.copies = 0.3;
-  begin (&o);
-  submit_some (60, 8);
+  SimOptions o = default_options;
+  o.duplicate_reports = 0.3;
+  start_cluster (&o);
+  submit_jobs (60, 8);
   for (guint i = 0; i < 6; i++) {
     sim_run (12);
     sim_node_kill (i % 3);
     sim_run (i % 2 ? 0.2 : 8);
     sim_node_start (i % 3);
   }
-  finish (400);
+  finish_and_check (400);
 }
 
 /* Processes are back within a fraction of a second, again and again while keys pass on. */
 static void
 test_back_at_once (void)
 {
-  begin (&usual);
-  submit_some (40, 15);
+  start_cluster (&default_options);
+  submit_jobs (40, 15);
   sim_run (30);
   for (guint i = 0; i < 40; i++) {
     sim_node_kill (i % 3);
@@ -771,7 +772,7 @@
       sim_node_start ((i + 1) % 3);
     sim_run (0.1 * (i % 9));
   }
-  finish (400);
+  finish_and_check (400);
 }
 
 /* Nodes do not reach each other for a minute: each part's jobs begin all the same, since their
@@ -779,18 +780,18 @@
 static void
 test_peers_refuse (void)
 {
-  SimOptions o = usual;
-  o.machines = 30; /* none has to move: for that the leader must reach the owner */
-  begin (&o);
-  cut_peers (SIM_DROP);
+  SimOptions o = default_options;
+  o.max_machines = 30; /* none has to move: for that the leader must reach the owner */
+  start_cluster (&o);
+  set_peer_links (SIM_LINK_DROP);
   sim_run (5);
-  submit_some (40, 15);
+  submit_jobs (40, 15);
   sim_run (60);
-  g_assert_cmpfloat (sim_began ("wk-000001"), >, 0);
-  g_assert_cmpfloat (sim_began ("wk-000002"), >, 0);
-  g_assert_cmpfloat (sim_began ("wk-000003"), >, 0);
-  cut_peers (SIM_OPEN);
-  finish (300);
+  g_assert_cmpfloat (sim_time_to_first_task ("wk-000001"), >, 0);
+  g_assert_cmpfloat (sim_time_to_first_task ("wk-000002"), >, 0);
+  g_assert_cmpfloat (sim_time_to_first_task ("wk-000003"), >, 0);
+  set_peer_links (SIM_LINK_UP);
+  finish_and_check (300);
 }
 
 /* A stream of small jobs that are late as soon as they come keeps the part full, and late jobs go
@@ -798,9 +799,9 @@
 static void
 test_large_job_begins (void)
 {
-  SimOptions o = usual;
-  o.machines = 2;
-  begin (&o);
+  SimOptions o = default_options;
+  o.max_machines = 2;
+  start_cluster (&o);
   sim_submit ("wk-000000", "team0", "normal", 2, 1, 10, 1);
   sim_run (30);
   sim_submit ("wk-000001", "team0", "normal", 300, 1, 10, 3000);
@@ -809,10 +810,10 @@
     sim_submit (id, "team0", "normal", 16, 1, 10, 1);
     sim_run (9);
   }
-  double began = sim_began ("wk-000001");
+  double began = sim_time_to_first_task ("wk-000001");
   g_assert_cmpfloat (began, >, 0);
   g_assert_cmpfloat (began, <, 240);
-  finish (900);
+  finish_and_check (900);
 }
 
 /* Seven nodes, some hundred machines, small values and few writes: most machines go to one part,
@@ -820,32 +821,32 @@
 static void
 test_large (void)
 {
-  SimOptions o = usual;
+  SimOptions o = default_options;
   o.nodes = 7;
   o.machine_cpus = 4;
-  o.machines = 300;
+  o.max_machines = 300;
   o.value_kb = 8;
   o.write_rps = 15;
-  begin (&o);
+  start_cluster (&o);
   for (guint i = 0; i < 12; i++) {
     g_autofree char *id = g_strdup_printf ("wk-0000%02u", i);
     g_autofree char *team = g_strdup_printf ("team%u", i < 8 ? 0 : i % 5);
     sim_submit (id, team, i % 3 ? "normal" : "urgent", 400, 1, 25, 600);
   }
   sim_run (45);
-  g_assert_cmpuint (sim_machines (), >, 250);
+  g_assert_cmpuint (sim_machine_count (), >, 250);
   g_assert_cmpuint (sim_tasks_running (NULL), >, 800);
   sim_node_kill (0);
   sim_run (0.3);
   sim_node_start (0);
   sim_run (20);
-  crash_all (o.nodes, 5);
+  crash_and_restart_all (o.nodes, 5);
   sim_run (15);
   g_assert_cmpuint (sim_tasks_running (NULL), >, 500);
-  work_off (600);
+  run_until_finished (600);
   sim_run (60); /* machines go back by the dozen, within the cloud's few calls a second */
-  g_assert_cmpuint (sim_machines (), ==, 0);
-  finish (0);
+  g_assert_cmpuint (sim_machine_count (), ==, 0);
+  finish_and_check (0);
 }
 
 /* Each kind of request of nodes and users (commits, leases, rentals, deletions, commands, what
@@ -854,11 +855,11 @@
 static void
 repeats (void)
 {
-  SimOptions o = usual;
-  o.repeats = 0.3;
-  o.copies = 0.3;
-  begin (&o);
-  submit_some (60, 8);
+  SimOptions o = default_options;
+  o.duplicate_requests = 0.3;
+  o.duplicate_reports = 0.3;
+  start_cluster (&o);
+  submit_jobs (60, 8);
   for (guint i = 0; i < 8; i++) {
     sim_run (6);
     sim_node_kill (i % 3);
@@ -871,17 +872,17 @@
   }
   sim_submit ("wk-000004", "team1", "urgent", 20, 1, 20, 600);
   sim_run (5);
-  sim_abort ("wk-000004");
-  work_off (400);
+  sim_cancel ("wk-000004");
+  run_until_finished (400);
   /* A late report of a machine that is gone brings it into a part whose leader has restarted since;
    * it goes again once lists have not shown it for a minute and four lags. Counted from when the
    * last machine went: a report's copy comes within a minute, and lists are read each 10 s. */
-  for (guint i = 0; i < 60 && sim_machines (); i++)
+  for (guint i = 0; i < 60 && sim_machine_count (); i++)
     sim_run (1);
-  g_assert_cmpuint (sim_machines (), ==, 0);
+  g_assert_cmpuint (sim_machine_count (), ==, 0);
   sim_run (60 + 68 + 2 * 10 + 5);
-  assert_all_returned ();
-  finish (0);
+  assert_all_machines_released ();
+  finish_and_check (0);
 }
 
 static void
@@ -895,8 +896,8 @@
 static void
 test_malformed (void)
 {
-  begin (&usual);
-  submit_some (40, 15);
+  start_cluster (&default_options);
+  submit_jobs (40, 15);
   sim_run (30);
   guint running = sim_tasks_running (NULL);
   g_assert_cmpuint (running, >, 0);
@@ -911,18 +912,20 @@
   for (guint i = 0; i < 3; i++) {
     g_assert_cmpuint (sim_request (i, "POST", "/agent/beat", "{\"Berth\":5}"), ==, 400);
     g_assert_cmpuint (sim_request (i, "POST", "/agent/beat", "[]"), ==, 400);
-    g_assert_cmpuint (sim_peer (i, "POST", "/wishes", "{\"Wishes\":[5,{\"Part\":1e9}]}"), ==, 200);
-    g_assert_cmpuint (sim_peer (i, "POST", "/wishes",
-                                "{\"Wishes\":[{\"Part\":0,\"To\":-7,\"Ids\":[null,\"host-000000\","
-                                "\"x\"]}]}"),
+    g_assert_cmpuint (sim_peer_request (i, "POST", "/wishes", "{\"Wishes\":[5,{\"Part\":1e9}]}"),
                       ==, 200);
-    g_assert_cmpuint (sim_peer (i, "POST", "/nothing", "{}"), ==, 404);
+    g_assert_cmpuint (
+        sim_peer_request (i, "POST", "/wishes",
+                          "{\"Wishes\":[{\"Part\":0,\"To\":-7,\"Ids\":[null,\"host-000000\","
+                          "\"x\"]}]}"),
+        ==, 200);
+    g_assert_cmpuint (sim_peer_request (i, "POST", "/nothing", "{}"), ==, 404);
   }
   /* A part's own record, as an array: its machines are still known. */
   sim_state_put ("c/berths/0/0", "[]");
   sim_run (3);
   g_assert_cmpuint (sim_tasks_running (NULL), >, running / 2);
-  finish (400);
+  finish_and_check (400);
 }
 
 /* Two thousand machines: they come up, work, all controllers crash at once and come back; the parts
@@ -930,40 +933,40 @@
 static void
 test_fleet (void)
 {
-  SimOptions o = usual;
+  SimOptions o = default_options;
   o.nodes = 5;
   o.machine_cpus = 4;
-  o.machines = 2000;
+  o.max_machines = 2000;
   o.report_s = 4;
   o.lease_s = 22;
   o.write_rps = 180;
-  o.step_s = 0.25;
-  begin (&o);
+  o.machine_poll_s = 0.25;
+  start_cluster (&o);
   for (guint i = 0; i < 16; i++) {
     g_autofree char *id = g_strdup_printf ("wk-0000%02u", i);
     g_autofree char *team = g_strdup_printf ("team%u", i < 10 ? 0 : i % 3);
     sim_submit (id, team, i % 3 ? "normal" : "urgent", 1100, 1, 45, 100);
   }
   sim_run (50);
-  g_assert_cmpuint (sim_machines (), >, 1900);
+  g_assert_cmpuint (sim_machine_count (), >, 1900);
   g_assert_cmpuint (sim_tasks_running (NULL), >, 5000);
   /* All are up: reports, the completions and the grants with them walk over no other machine. */
   guint64 steps, steps_before;
-  guint started = sim_started (), beats = sim_beats (&steps_before);
+  guint started = sim_tasks_started (), beats = sim_reports_handled (&steps_before);
   sim_run (20);
-  g_assert_cmpuint (sim_beats (&steps), >, beats + 5000);
-  g_assert_cmpuint (sim_started (), >, started + 1000);
+  g_assert_cmpuint (sim_reports_handled (&steps), >, beats + 5000);
+  g_assert_cmpuint (sim_tasks_started (), >, started + 1000);
   g_assert_cmpuint (steps, ==, steps_before);
-  crash_all (o.nodes, 3);
+  crash_and_restart_all (o.nodes, 3);
   sim_run (14);
-  guint before = sim_started ();
+  guint before = sim_tasks_started ();
   sim_submit ("wk-000099", "team0", "urgent", 100, 1, 10, 100);
   sim_run (20);
-  g_assert_cmpuint (sim_started (), >=, before + 100);
-  work_off (400);
+  g_assert_cmpuint (sim_tasks_started (), >=, before + 100);
+  run_until_finished (400);
   sim_run (60);
-  assert_all_returned ();
-  finish (0);
+  assert_all_machines_released ();
+  finish_and_check (0);
 }
 
 /* Troubles drawn at random, all at once: what is asserted is that no rule breaks and all ends. */
@@ -971,14 +974,14 @@
 test_storm (void)
 {
   g_autoptr (GRand) r = g_rand_new_with_seed (seed);
-  begin (&usual);
-  submit_some (60, 8);
+  start_cluster (&default_options);
+  submit_jobs (60, 8);
   for (guint i = 0; i < 25; i++) {
     guint n = (guint) g_rand_int_range (r, 0, 3);
     char node[] = { 'n', (char) ('0' + n), 0 }, other[] = { 'n', (char) ('0' + (n + 1) % 3), 0 };
     const char *m = sim_busiest_machine ();
     g_autofree char *id = g_strdup (m ? m : "host-000000");
-    SimCut how = g_rand_boolean (r) ? SIM_HOLD : SIM_DROP;
+    SimLinkState how = g_rand_boolean (r) ? SIM_LINK_HOLD : SIM_LINK_DROP;
     switch (g_rand_int_range (r, 0, 6)) {
     case 0:
       sim_node_kill (n);
@@ -986,19 +989,19 @@
       sim_node_start (n);
       break;
     case 1:
-      sim_cut_both (node, "state", how);
+      sim_set_link_both (node, "state", how);
       sim_run (g_rand_double_range (r, 2, 20));
-      sim_cut_both (node, "state", SIM_OPEN);
+      sim_set_link_both (node, "state", SIM_LINK_UP);
       break;
     case 2:
-      sim_cut (node, id, how);
+      sim_set_link (node, id, how);
       sim_run (g_rand_double_range (r, 1, 20));
-      sim_cut (node, id, SIM_OPEN);
+      sim_set_link (node, id, SIM_LINK_UP);
       break;
     case 3:
-      sim_cut_both (node, other, how);
+      sim_set_link_both (node, other, how);
       sim_run (g_rand_double_range (r, 1, 20));
-      sim_cut_both (node, other, SIM_OPEN);
+      sim_set_link_both (node, other, SIM_LINK_UP);
       break;
     case 4:
       sim_state_outage (TRUE);
@@ -1006,20 +1009,20 @@
       sim_state_outage (FALSE);
       break;
     default:
-      sim_lose_commit_answers (3);
+      sim_drop_commit_responses (3);
       sim_run (3);
     }
     sim_run (g_rand_double_range (r, 0, 6));
-    g_assert_cmpstr (sim_broken (), ==, "");
+    g_assert_cmpstr (sim_violations (), ==, "");
   }
   sim_submit ("wk-000009", "team0", "normal", 5, 1, 5, 600);
-  finish (600);
+  finish_and_check (600);
 }
 
 int
 main (int argc, char **argv)
 {
-  scenes_init (&argc, &argv);
+  fixture_init (&argc, &argv);
   g_test_add_func ("/service/quiet", test_quiet);
   g_test_add_func ("/service/replaced", test_replaced);
   g_test_add_func ("/service/machines-returned", test_machines_returned);
--- a/tests/test_settings.c
+++ b/tests/test_settings.c
@@ -33,9 +33,9 @@
   g_autoptr (GError) error = NULL;
   g_autoptr (KrSettings) s = load (good, &error);
   g_assert_no_error (error);
-  g_assert_cmpuint (s->self, ==, 1); /* names sorted */
-  g_assert_cmpuint (kr_settings_part_of_team (s, "b"), ==, 1);
-  g_assert_cmpfloat (kr_settings_goal (s, "l"), ==, 80);
+  g_assert_cmpuint (s->self_index, ==, 1); /* names sorted */
+  g_assert_cmpuint (kr_settings_shard_of_team (s, "b"), ==, 1);
+  g_assert_cmpfloat (kr_settings_finish_goal_s (s, "l"), ==, 80);
   g_assert_null (kr_settings_team (s, "c"));
 }
 
@@ -84,10 +84,10 @@
   g_autofree char *text = g_strdelimit (g_strdup (base), "'", '"');
   json_t *o = json_loads (text, 0, NULL);
   g_autoptr (GError) error = NULL;
-  g_autoptr (KrSpec) s = kr_wire_spec_parse (o, &error);
+  g_autoptr (KrJobSpec) s = kr_wire_spec_parse (o, &error);
   g_assert_no_error (error);
   json_t *again = kr_wire_spec_build (s);
-  g_autoptr (KrSpec) twice = kr_wire_spec_parse (again, &error);
+  g_autoptr (KrJobSpec) twice = kr_wire_spec_parse (again, &error);
   g_assert_no_error (error);
   g_assert_cmpfloat (twice->deadline_s, ==, 900);
   g_assert_cmpstr (twice->types[0], ==, "g8");
--- a/tests/test_takeover.c
+++ b/tests/test_takeover.c
@@ -10,9 +10,9 @@
  * Why: the new owner waited a machine's lease out only after its own restart, since any other
  * former owner may go on renewing it. Now it asks the former owners for their word (see
  * docs/design.md, Takeover). */
-#include "claim.h"
-#include "scenes.h"
-#include "world.h"
+#include "owner-history.h"
+#include "fixture.h"
+#include "fakes.h"
 #include <string.h>
 
 /* When the users' cancellation comes. */
@@ -44,8 +44,8 @@
         g_ptr_array_add (names, g_strdup (all[i]));
   }
   for (guint i = 0; i < names->len; i++)
-    if (sim_machine_lives (names->pdata[i]))
-      sim_machine_hang (names->pdata[i], on);
+    if (sim_machine_alive (names->pdata[i]))
+      sim_machine_pause (names->pdata[i], on);
 }
 
 /* Users ask at all nodes until then; who cancels also submits again now and then. */
@@ -53,7 +53,7 @@
 ask_until (double until)
 {
   while (until - sim_now () > 1e-3) {
-    for (guint node = 0; node < usual.nodes; node++)
+    for (guint node = 0; node < default_options.nodes; node++)
       sim_poll_at ("wk-000001", node);
     sim_run (MIN (2, until - sim_now ()));
   }
@@ -73,10 +73,10 @@
 static void
 play (const Wait *wait, gboolean told)
 {
-  SimOptions options = usual;
-  options.drift = wait->drift;
+  SimOptions options = default_options;
+  options.clock_drift = wait->drift;
   g_autoptr (GPtrArray) names = g_ptr_array_new_with_free_func (g_free);
-  begin (&options);
+  start_cluster (&options);
   sim_submit ("wk-000001", "team0", "normal", 16, 1, 100, 600);
   sim_submit ("wk-000002", "team0", "normal", 16, 1, 30, 600);
   sim_submit ("wk-000003", "team1", "urgent", 8, 1, 50, 600);
@@ -85,12 +85,12 @@
   double end = sim_now () + CLOUD_OUT_S;
   hang_machines (wait->machines, TRUE, names);
   if (wait->cancel == BEFORE_CRASH)
-    sim_abort ("wk-000001");
+    sim_cancel ("wk-000001");
   sim_run (1);
   sim_node_kill (0);
   double killed = sim_now ();
   if (wait->cancel == BEFORE_TAKEOVER)
-    sim_abort ("wk-000001");
+    sim_cancel ("wk-000001");
   if (wait->back_s > 0) {
     ask_until (killed + wait->back_s);
     sim_node_start (0);
@@ -101,11 +101,11 @@
   }
   if (wait->cancel == WHILE_CLOSED) {
     ask_until (MAX (sim_now (), killed + 10));
-    sim_abort ("wk-000001");
+    sim_cancel ("wk-000001");
   }
   end_successors (wait->successors);
   if (wait->old_reports)
-    sim_old_reports ();
+    sim_replay_old_reports ();
   if (wait->state_out_s > 0) {
     sim_state_outage (TRUE);
     ask_until (sim_now () + wait->state_out_s);
@@ -116,14 +116,14 @@
     hang_machines (wait->machines, FALSE, names);
   }
   ask_until (end);
-  g_assert_cmpstr (sim_broken (), ==, "");
+  g_assert_cmpstr (sim_violations (), ==, "");
   if (told)
-    g_assert_cmpstr (sim_told ("wk-000001"), ==, "cancelled");
+    g_assert_cmpstr (sim_reported_state ("wk-000001"), ==, "cancelled");
   sim_cloud_outage (FALSE);
   hang_machines (wait->machines, FALSE, names);
   if (wait->back_s <= 0 || wait->ends_again)
     sim_node_start (0);
-  finish (300);
+  finish_and_check (300);
 }
 
 static const Wait *played;
@@ -240,7 +240,7 @@
 static void
 begin_without_cloud (const SimOptions *options, guint tasks)
 {
-  begin (options);
+  start_cluster (options);
   sim_submit ("wk-000001", "team0", "normal", tasks, 1, 100, 600);
   sim_run (30);
   sim_cloud_outage (TRUE);
@@ -248,12 +248,12 @@
 
 /* Between a host and all nodes but one. */
 static void
-cut_but (const char *host, guint nodes, guint but, SimCut how)
+cut_but (const char *host, guint nodes, guint but, SimLinkState how)
 {
   for (guint i = 0; i < nodes; i++) {
     g_autofree char *node = g_strdup_printf ("n%u", i);
     if (i != but)
-      sim_cut_both (host, node, how);
+      sim_set_link_both (host, node, how);
   }
 }
 
@@ -263,32 +263,32 @@
 static void
 former_owner_lives (gboolean peers)
 {
-  begin (&usual);
+  start_cluster (&default_options);
   sim_submit ("wk-000001", "team0", "normal", 16, 1, 100, 600);
   sim_submit ("wk-000002", "team0", "normal", 16, 1, 30, 600);
   sim_run (30);
   sim_cloud_outage (TRUE);
   g_autofree char *machine = g_strdup (sim_machine_of ("wk-000001"));
-  cut_but (machine, usual.nodes, 0, SIM_DROP);
+  cut_but (machine, default_options.nodes, 0, SIM_LINK_DROP);
   if (!peers)
-    cut_but ("n0", usual.nodes, 0, SIM_DROP);
-  sim_cut_both ("n0", "state", SIM_DROP);
+    cut_but ("n0", default_options.nodes, 0, SIM_LINK_DROP);
+  sim_set_link_both ("n0", "state", SIM_LINK_DROP);
   sim_run (10);
-  sim_abort_at ("wk-000001", 1);
+  sim_cancel_at ("wk-000001", 1);
   double until = sim_now () + 50;
   while (sim_now () < until) {
     sim_poll_at ("wk-000001", 1);
     sim_run (2);
   }
-  g_assert_cmpstr (sim_broken (), ==, "");
+  g_assert_cmpstr (sim_violations (), ==, "");
   /* Reached by its peers, it gives its word, and the machine's lease runs out. */
   if (peers)
-    g_assert_cmpstr (sim_told ("wk-000001"), ==, "cancelled");
+    g_assert_cmpstr (sim_reported_state ("wk-000001"), ==, "cancelled");
   sim_cloud_outage (FALSE);
-  sim_cut_both ("n0", "state", SIM_OPEN);
-  cut_but (machine, usual.nodes, 0, SIM_OPEN);
-  cut_but ("n0", usual.nodes, 0, SIM_OPEN);
-  finish (300);
+  sim_set_link_both ("n0", "state", SIM_LINK_UP);
+  cut_but (machine, default_options.nodes, 0, SIM_LINK_UP);
+  cut_but ("n0", default_options.nodes, 0, SIM_LINK_UP);
+  finish_and_check (300);
 }
 
 static void
@@ -317,19 +317,19 @@
 static void
 late_word (void)
 {
-  begin_without_cloud (&usual, 12); /* the other machine has room */
+  begin_without_cloud (&default_options, 12); /* the other machine has room */
   g_autofree char *machine = g_strdup (sim_busiest_machine ());
-  cut_but (machine, usual.nodes, 0, SIM_DROP);
-  cut_peers (SIM_DROP);
-  sim_cut_both ("n0", "state", SIM_DROP);
+  cut_but (machine, default_options.nodes, 0, SIM_LINK_DROP);
+  set_peer_links (SIM_LINK_DROP);
+  sim_set_link_both ("n0", "state", SIM_LINK_DROP);
   sim_run (35); /* taken over, and a lease and more has passed */
-  cut_peers (SIM_OPEN);
+  set_peer_links (SIM_LINK_UP);
   sim_run (30);
-  g_assert_cmpstr (sim_broken (), ==, "");
-  cut_but (machine, usual.nodes, 0, SIM_OPEN);
-  sim_cut_both ("n0", "state", SIM_OPEN);
+  g_assert_cmpstr (sim_violations (), ==, "");
+  cut_but (machine, default_options.nodes, 0, SIM_LINK_UP);
+  sim_set_link_both ("n0", "state", SIM_LINK_UP);
   sim_cloud_outage (FALSE);
-  finish (300);
+  finish_and_check (300);
 }
 
 static void
@@ -343,26 +343,26 @@
 static void
 own_answer (void)
 {
-  begin_without_cloud (&usual, 12); /* the other machine has room */
+  begin_without_cloud (&default_options, 12); /* the other machine has room */
   g_autofree char *machine = g_strdup (sim_busiest_machine ());
-  sim_late_commands (1);                  /* so that only its reports fence a machine */
-  sim_cut_both ("n0", "state", SIM_DROP); /* its peers reach it: it gives its word */
-  for (guint i = 0; i < 200 && sim_owner (0) <= 0; i++)
+  sim_delay_commands (1);                           /* so that only its reports fence a machine */
+  sim_set_link_both ("n0", "state", SIM_LINK_DROP); /* its peers reach it: it gives its word */
+  for (guint i = 0; i < 200 && sim_shard_owner (0) <= 0; i++)
     sim_run (0.1);
   sim_run (0.3); /* the word is given */
-  double renewed = sim_last_renewal (machine);
-  for (guint i = 0; i < 500 && sim_last_renewal (machine) <= renewed; i++)
+  double renewed = sim_lease_renewed_at (machine);
+  for (guint i = 0; i < 500 && sim_lease_renewed_at (machine) <= renewed; i++)
     sim_run (0.01);
-  g_assert_cmpfloat (sim_last_renewal (machine), >, renewed); /* by the new owner */
-  g_assert_cmpfloat (sim_last_renewal (machine), <, renewed + usual.lease_s);
-  sim_machine_hang (machine, TRUE);
+  g_assert_cmpfloat (sim_lease_renewed_at (machine), >, renewed); /* by the new owner */
+  g_assert_cmpfloat (sim_lease_renewed_at (machine), <, renewed + default_options.lease_s);
+  sim_machine_pause (machine, TRUE);
   sim_run (11.8);
-  g_assert_cmpstr (sim_broken (), ==, "");
-  sim_machine_hang (machine, FALSE);
-  sim_late_commands (0);
-  sim_cut_both ("n0", "state", SIM_OPEN);
+  g_assert_cmpstr (sim_violations (), ==, "");
+  sim_machine_pause (machine, FALSE);
+  sim_delay_commands (0);
+  sim_set_link_both ("n0", "state", SIM_LINK_UP);
   sim_cloud_outage (FALSE);
-  finish (300);
+  finish_and_check (300);
 }
 
 static void
@@ -376,20 +376,20 @@
 static void
 well_after_refusal (void)
 {
-  begin_without_cloud (&usual, 16);
+  begin_without_cloud (&default_options, 16);
   g_autofree char *machine = g_strdup (sim_machine_of ("wk-000001"));
-  sim_machine_mute (machine, TRUE); /* it reports to nobody, but answers commands */
-  cut_off (machine, SIM_DROP);
+  sim_machine_stop_reports (machine, TRUE); /* it reports to nobody, but answers commands */
+  set_machine_links (machine, SIM_LINK_DROP);
   sim_node_kill (0);
   sim_run (20); /* given up, its deletion refused */
-  cut_off (machine, SIM_OPEN);
-  sim_abort_at ("wk-000001", 1);
+  set_machine_links (machine, SIM_LINK_UP);
+  sim_cancel_at ("wk-000001", 1);
   sim_run (20);
-  g_assert_cmpstr (sim_told ("wk-000001"), ==, "cancelled");
-  sim_machine_mute (machine, FALSE);
+  g_assert_cmpstr (sim_reported_state ("wk-000001"), ==, "cancelled");
+  sim_machine_stop_reports (machine, FALSE);
   sim_cloud_outage (FALSE);
   sim_node_start (0);
-  finish (300);
+  finish_and_check (300);
 }
 
 static void
@@ -403,17 +403,17 @@
 static void
 hears_nothing (void)
 {
-  begin_without_cloud (&usual, 16);
+  begin_without_cloud (&default_options, 16);
   g_autofree char *machine = g_strdup (sim_machine_of ("wk-000001"));
-  deafen (machine, SIM_DROP);
+  set_links_to_machine (machine, SIM_LINK_DROP);
   sim_run (1);
-  crash (0, 9);
-  sim_abort ("wk-000001");
+  crash_and_restart (0, 9);
+  sim_cancel ("wk-000001");
   sim_run (60);
-  g_assert_cmpstr (sim_told ("wk-000001"), ==, "cancelled");
+  g_assert_cmpstr (sim_reported_state ("wk-000001"), ==, "cancelled");
   sim_cloud_outage (FALSE);
-  deafen (machine, SIM_OPEN);
-  finish (300);
+  set_links_to_machine (machine, SIM_LINK_UP);
+  finish_and_check (300);
 }
 
 static void
@@ -428,16 +428,16 @@
 static void
 opens_once (void)
 {
-  begin_without_cloud (&usual, 16);
+  begin_without_cloud (&default_options, 16);
   const char *machine = sim_machine_of ("wk-000001");
-  sim_machine_hang (machine, TRUE);
-  crash (0, 9);
-  sim_abort ("wk-000001");
+  sim_machine_pause (machine, TRUE);
+  crash_and_restart (0, 9);
+  sim_cancel ("wk-000001");
   sim_run (1.5 + 13 + 3);
-  g_assert_cmpstr (sim_told ("wk-000001"), ==, "cancelled");
-  sim_machine_hang (machine, FALSE);
+  g_assert_cmpstr (sim_reported_state ("wk-000001"), ==, "cancelled");
+  sim_machine_pause (machine, FALSE);
   sim_cloud_outage (FALSE);
-  finish (300);
+  finish_and_check (300);
 }
 
 static void
@@ -454,22 +454,23 @@
 static void
 former_owner_scans (void)
 {
-  begin (&usual);
+  start_cluster (&default_options);
   sim_submit ("wk-000001", "team0", "normal", 12, 1, 60, 600);
   sim_run (30);
-  g_autofree char *machine = g_strdup (sim_idlest_machine ());
-  sim_cut_both ("n0", "state", SIM_DROP);
-  cut_but ("n0", usual.nodes, 0, SIM_DROP);
+  g_autofree char *machine = g_strdup (sim_least_busy_machine ());
+  sim_set_link_both ("n0", "state", SIM_LINK_DROP);
+  cut_but ("n0", default_options.nodes, 0, SIM_LINK_DROP);
   sim_machine_kill (machine); /* n0 rents another one, and gives it to a part without an answer */
   sim_run (15);
-  sim_cut_both ("n0", "cloud", SIM_DROP); /* it sees in no list what becomes of its machines */
-  sim_run (115);                          /* its successor ends the job and returns the machines */
-  g_assert_cmpstr (sim_told ("wk-000001"), ==, "done");
-  sim_cut_both ("n0", "state", SIM_OPEN);
+  sim_set_link_both ("n0", "cloud",
+                     SIM_LINK_DROP); /* it sees in no list what becomes of its machines */
+  sim_run (115);                     /* its successor ends the job and returns the machines */
+  g_assert_cmpstr (sim_reported_state ("wk-000001"), ==, "done");
+  sim_set_link_both ("n0", "state", SIM_LINK_UP);
   sim_run (2);
-  sim_cut_both ("n0", "cloud", SIM_OPEN);
-  cut_but ("n0", usual.nodes, 0, SIM_OPEN);
-  finish (300);
+  sim_set_link_both ("n0", "cloud", SIM_LINK_UP);
+  cut_but ("n0", default_options.nodes, 0, SIM_LINK_UP);
+  finish_and_check (300);
 }
 
 static void
@@ -485,43 +486,43 @@
 static void
 owner_replaced_in_wait (void)
 {
-  SimOptions options = usual;
+  SimOptions options = default_options;
   options.nodes = 4;
   options.lease_s = 20; /* the third one takes over within it */
   begin_without_cloud (&options, 12);
   g_autofree char *machine = g_strdup (sim_busiest_machine ());
-  g_autofree char *with_room = g_strdup (sim_idlest_machine ());
-  sim_cut_both ("n0", "state", SIM_DROP); /* its peers reach it: it gives its word */
-  cut_but (machine, options.nodes, 0, SIM_DROP);
+  g_autofree char *with_room = g_strdup (sim_least_busy_machine ());
+  sim_set_link_both ("n0", "state", SIM_LINK_DROP); /* its peers reach it: it gives its word */
+  cut_but (machine, options.nodes, 0, SIM_LINK_DROP);
   int second = -1;
   for (guint i = 0; i < 200 && second < 0; i++) {
     sim_run (0.1);
-    second = sim_owner (0);
+    second = sim_shard_owner (0);
     second = second == 0 ? -1 : second;
   }
   g_assert_cmpint (second, >, 0);
   sim_run (1.5); /* the word is given */
   g_autofree char *name = g_strdup_printf ("n%d", second);
-  sim_cut_both (name, "state", SIM_DROP);
-  cut_but (machine, options.nodes, (guint) second, SIM_OPEN);
-  cut_but (with_room, options.nodes, (guint) second, SIM_DROP);
-  cut_but (name, options.nodes, (guint) second, SIM_DROP);
+  sim_set_link_both (name, "state", SIM_LINK_DROP);
+  cut_but (machine, options.nodes, (guint) second, SIM_LINK_UP);
+  cut_but (with_room, options.nodes, (guint) second, SIM_LINK_DROP);
+  cut_but (name, options.nodes, (guint) second, SIM_LINK_DROP);
   sim_run (32);
   /* The third one answers it. Without the guard in the routing of reports it went to and fro
    * between the first, which knew the second as owner, and the second: "silent, its lease is over,
    * 8 tasks gone". */
   g_assert_cmpuint (sim_tasks_running ("wk-000001"), ==, 12);
   sim_run (10);
-  g_assert_cmpstr (sim_broken (), ==, "");
+  g_assert_cmpstr (sim_violations (), ==, "");
   for (guint i = 0; i < options.nodes; i++) {
     g_autofree char *node = g_strdup_printf ("n%u", i);
-    sim_cut_both (machine, node, SIM_OPEN);
-    sim_cut_both (with_room, node, SIM_OPEN);
-    sim_cut_both (name, node, SIM_OPEN);
-    sim_cut_both (node, "state", SIM_OPEN);
+    sim_set_link_both (machine, node, SIM_LINK_UP);
+    sim_set_link_both (with_room, node, SIM_LINK_UP);
+    sim_set_link_both (name, node, SIM_LINK_UP);
+    sim_set_link_both (node, "state", SIM_LINK_UP);
   }
   sim_cloud_outage (FALSE);
-  finish (300);
+  finish_and_check (300);
 }
 
 static void
@@ -544,16 +545,16 @@
                         "{\"Part\":\"0\",\"Owner\":\"berth-1\",\"Token\":9999}",
                         "{\"Part\":0,\"Owner\":null,\"Token\":9999}",
                         "{\"Part\":0,\"Owner\":\"berth-1\",\"Token\":-5}" };
-  begin (&usual);
-  submit_some (8, 20);
+  start_cluster (&default_options);
+  submit_jobs (8, 20);
   sim_run (10);
   for (guint i = 0; i < G_N_ELEMENTS (bad); i++)
-    g_assert_cmpuint (sim_peer (0, "POST", "/takeovers", bad[i]), ==, 400);
+    g_assert_cmpuint (sim_peer_request (0, "POST", "/takeovers", bad[i]), ==, 400);
   /* Of an owner before the present one: its key is older, so nothing is given up. */
   g_assert_cmpuint (
-      sim_peer (0, "POST", "/takeovers", "{\"Part\":0,\"Owner\":\"berth-1\",\"Token\":1}"), ==,
-      409);
-  finish (200);
+      sim_peer_request (0, "POST", "/takeovers", "{\"Part\":0,\"Owner\":\"berth-1\",\"Token\":1}"),
+      ==, 409);
+  finish_and_check (200);
 }
 
 /* --- the stored claim -------------------------------------------------------------------- */
@@ -561,7 +562,7 @@
 three_nodes (void)
 {
   g_autoptr (GError) error = NULL;
-  json_t *root = world_settings (0);
+  json_t *root = fakes_node_settings (0);
   KrSettings *settings = kr_settings_from_json (root, &error);
   g_assert_no_error (error);
   json_decref (root);
@@ -572,13 +573,13 @@
 static char *
 former_owners (const KrSettings *settings, const char *text)
 {
-  KrClaim claim = { 0 };
+  KrOwnerHistory claim = { 0 };
   json_t *value = json_loads (text, 0, NULL);
-  kr_claim_read (&claim, value, 7, settings);
+  kr_owner_history_update (&claim, value, 7, settings);
   json_decref (value);
-  g_autoptr (GPtrArray) names = kr_claim_former_owners (&claim);
+  g_autoptr (GPtrArray) names = kr_owner_history_former_owners (&claim);
   g_free (claim.holder);
-  g_clear_pointer (&claim.earlier, g_ptr_array_unref);
+  g_clear_pointer (&claim.earlier_owners, g_ptr_array_unref);
   if (!names)
     return g_strdup ("?");
   g_ptr_array_add (names, NULL);
@@ -605,7 +606,7 @@
     { "{\"Settled\":true}", "?" },
     { "{\"Holder\":7,\"Settled\":true,\"Earlier\":[]}", "?" },
   };
-  begin (&usual);
+  start_cluster (&default_options);
   g_autoptr (KrSettings) settings = three_nodes ();
   for (guint i = 0; i < G_N_ELEMENTS (claims); i++) {
     g_autofree char *names = former_owners (settings, claims[i][0]);
@@ -619,28 +620,28 @@
 test_claim_chain (void)
 {
   const char *owners[] = { "berth-0", "berth-1", "berth-0", "berth-2" };
-  begin (&usual);
+  start_cluster (&default_options);
   g_autoptr (KrSettings) settings = three_nodes ();
-  KrClaim claim = { 0 };
-  json_t *first = kr_claim_without_earlier ("berth-0", TRUE);
-  kr_claim_read (&claim, first, 1, settings);
+  KrOwnerHistory claim = { 0 };
+  json_t *first = kr_owner_history_value_without_earlier ("berth-0", TRUE);
+  kr_owner_history_update (&claim, first, 1, settings);
   json_decref (first);
   for (guint i = 0; i < G_N_ELEMENTS (owners); i++) {
-    json_t *next = kr_claim_taken_over (&claim, owners[i]);
-    kr_claim_read (&claim, next, 2 + i, settings);
+    json_t *next = kr_owner_history_takeover_value (&claim, owners[i]);
+    kr_owner_history_update (&claim, next, 2 + i, settings);
     json_decref (next);
-    g_assert_false (claim.settled);
+    g_assert_false (claim.all_fenced);
   }
-  g_autoptr (GPtrArray) names = kr_claim_former_owners (&claim);
+  g_autoptr (GPtrArray) names = kr_owner_history_former_owners (&claim);
   g_assert_cmpuint (names->len, ==, 3); /* berth-2, berth-0, berth-1 */
   /* An older node in between does not keep them. */
   json_t *older = json_pack ("{ss sb}", "Holder", "berth-1", "Settled", 0);
-  kr_claim_read (&claim, older, 9, settings);
+  kr_owner_history_update (&claim, older, 9, settings);
   json_decref (older);
-  json_t *next = kr_claim_taken_over (&claim, "berth-2");
-  kr_claim_read (&claim, next, 10, settings);
+  json_t *next = kr_owner_history_takeover_value (&claim, "berth-2");
+  kr_owner_history_update (&claim, next, 10, settings);
   json_decref (next);
-  g_assert_null (kr_claim_former_owners (&claim));
+  g_assert_null (kr_owner_history_former_owners (&claim));
   g_free (claim.holder);
   sim_stop ();
 }
@@ -648,7 +649,7 @@
 int
 main (int argc, char **argv)
 {
-  scenes_init (&argc, &argv);
+  fixture_init (&argc, &argv);
   g_test_add_func ("/takeover/claims", test_claims);
   g_test_add_func ("/takeover/claim-chain", test_claim_chain);
   g_test_add_func ("/takeover/bad-questions", test_bad_questions);
