--- a/src/provisioner.c
+++ b/src/provisioner.c
@@ -4,53 +4,59 @@
 #include "constants.h"
 #include "http-client.h"
 #include "log.h"
-#include "shard.h"
 #include "rebalance.h"
+#include "shard.h"
 #include <math.h>
 #include <string.h>
 
-/* One type in one zone, spot or ordinary. */
+/* The machines of one type in one zone, either spot or on-demand. */
 typedef struct {
   KrProvisioner *provisioner;
   char *type, *zone;
-  gboolean spot, busy;
-  char *request; /* a request whose outcome is not known: repeated under its name */
-  guint count;
-  gint64 asked_at;     /* monotonic us */
-  gint64 closed_until; /* monotonic us: refused or filled in part */
-  double pause_ms;
+  gboolean spot, request_in_flight;
+  /* Name of the current rental request. It is kept until the outcome is known; the request is
+   * retried under the same name, so that the cloud carries it out only once. */
+  char *request_name;
+  guint requested;        /* machines that the request asks for */
+  gint64 last_request_at; /* monotonic us of the last request */
+  gint64 backoff_until;   /* monotonic us; backoff after a refused or partly filled request */
+  double backoff_ms;      /* backoff after the next such request */
 } Pool;
 
 typedef struct {
-  json_t *value; /* a part's summary */
-  gint64 at;
+  json_t *value;      /* the shard's summary; NULL: none yet */
+  gint64 received_at; /* monotonic us */
 } Summary;
 
 struct KrProvisioner {
   KrNode *node;
   GCancellable *cancel;
-  GHashTable *listed; /* id -> KrListedMachine, of the newest list */
-  GHashTable *fresh;  /* id -> KrListedMachine: rented or seen, not yet in a list */
-  GHashTable *left;   /* id -> gint64*: when it left the records */
-  GHashTable *pools;  /* "type zone kind" -> Pool */
-  Summary *summaries; /* a part each */
-  json_t **wishes;    /* a part each: what its owner shall be told */
-  guint requests;
-  gboolean listing, types_busy, assigning, had_list;
-  gboolean records_read; /* since we lead, and since a write of ours with unknown outcome */
-  /* A chunk as the first write of ours with unknown outcome expects it: each further write changes
-   * it, so that one of them is carried out at most. */
-  KrChunkVersion doubt;
-  gboolean in_doubt;
-  gint64 next_types, next_list, next_move, next_round;
-  gint64 leading_since;
-  gint64 rent_at;   /* monotonic us: renting goes on then, between rounds; 0: nothing to do */
-  gint64 act_at;    /* monotonic us: the round goes on then, whoever has answered; 0: it has */
-  guint asking;     /* exchanges of this round without an answer yet */
-  double *backlogs; /* changes that wait at each node, ours first; negative: it has not told */
-  gboolean heard;   /* since we lead, a round in which all parts were heard, or enough time */
-  gint64 asked;     /* monotonic us: when a leader, we or another, last asked for our summaries */
-  guint64 newest_leader; /* the highest token of a leader that we have heard of */
+  GHashTable *listed;    /* id -> KrListedMachine in the newest machine list */
+  GHashTable *unlisted;  /* id -> KrListedMachine that was rented or reported, not listed yet */
+  GHashTable *removed;   /* id -> gint64*: monotonic us at which it was removed from the records */
+  GHashTable *pools;     /* "type zone spot" -> Pool */
+  Summary *summaries;    /* the last summary of each shard */
+  json_t **directives;   /* for each shard, the directives for its owner; NULL: none */
+  guint request_counter; /* rental requests of this process; part of their names */
+  gboolean list_in_flight, types_in_flight, assign_in_flight, has_list;
+  /* The machine records were relisted since this node became the leader, and since its last record
+   * update with an unknown outcome. */
+  gboolean records_relisted;
+  /* The version of a chunk that the first record update with an unknown outcome expects. Each
+   * further update writes this chunk too, so that at most one of them succeeds. */
+  KrChunkVersion unconfirmed_chunk;
+  gboolean has_unconfirmed_update;
+  gint64 next_types, next_list, next_busy_rebalance, next_round; /* monotonic us */
+  gint64 leading_since; /* monotonic us; 0: this node is not the leader */
+  gint64 rent_due_at;   /* monotonic us at which renting continues between rounds; 0: not due */
+  /* Monotonic us at which the round continues even if summaries are missing; 0: no round waits. */
+  gint64 reconcile_at;
+  guint polls_pending; /* summary requests of this round without an answer */
+  double *backlogs;    /* queued writes of each node, this node first; negative: unknown */
+  /* Since this node became the leader, one round received all summaries or the wait timed out. */
+  gboolean warmed_up;
+  gint64 last_polled_at; /* monotonic us at which a leader last asked for this node's summaries */
+  guint64 newest_leader_token; /* the highest fencing token of a leader seen so far */
   guint timer;
 };
 
@@ -60,12 +66,12 @@
   Pool *pool = p;
   g_free (pool->type);
   g_free (pool->zone);
-  g_free (pool->request);
+  g_free (pool->request_name);
   g_free (pool);
 }
 
 static KrListedMachine *
-machine_new (const char *id, const char *type, const char *zone, gboolean spot)
+listed_machine_new (const char *id, const char *type, const char *zone, gboolean spot)
 {
   KrListedMachine *listed = g_new0 (KrListedMachine, 1);
   listed->id = g_strdup (id);
@@ -76,35 +82,36 @@
 }
 
 static gboolean
-long_gone (gpointer id, gpointer at, gpointer data)
+removal_expired (gpointer id, gpointer removed_at, gpointer data)
 {
-  return kr_now () - *(gint64 *) at > kr_seconds_to_us (KR_REMOVED_MACHINE_MEMORY_S);
+  return kr_now () - *(gint64 *) removed_at > kr_seconds_to_us (KR_REMOVED_MACHINE_MEMORY_S);
 }
 
-/* A machine is gone: a pool that refused may have one again (which, lists do not tell any more).
- * Guards against hundreds being taken at once while all pools are left alone for a minute. */
+/* Shortens the backoff of all pools after a machine was removed: its pool, which the lists no
+ * longer show, may have a free machine again. Otherwise, when hundreds of machines are reclaimed at
+ * once, no pool would be asked for up to a minute. */
 static void
-reopen (KrProvisioner *provisioner)
+reopen_pools (KrProvisioner *provisioner)
 {
-  GHashTableIter it;
+  GHashTableIter iter;
   gpointer value;
-  g_hash_table_iter_init (&it, provisioner->pools);
-  while (g_hash_table_iter_next (&it, NULL, &value)) {
+  g_hash_table_iter_init (&iter, provisioner->pools);
+  while (g_hash_table_iter_next (&iter, NULL, &value)) {
     Pool *pool = value;
-    gint64 again = pool->asked_at + KR_POOL_REOPEN_MIN_MS * G_GINT64_CONSTANT (1000);
-    pool->closed_until = MIN (pool->closed_until, MAX (again, kr_now ()));
+    gint64 earliest = pool->last_request_at + KR_POOL_REOPEN_MIN_MS * G_GINT64_CONSTANT (1000);
+    pool->backoff_until = MIN (pool->backoff_until, MAX (earliest, kr_now ()));
   }
 }
 
-/* --- records ------------------------------------------------------------------------- */
+/* --- machine records ----------------------------------------------------------------- */
 void
 kr_provisioner_machine_removed (KrProvisioner *provisioner, const char *id)
 {
-  gint64 *at = g_new (gint64, 1);
-  *at = kr_now ();
-  g_hash_table_replace (provisioner->left, g_strdup (id), at);
-  g_hash_table_remove (provisioner->fresh, id);
-  reopen (provisioner);
+  gint64 *removed_at = g_new (gint64, 1);
+  *removed_at = kr_now ();
+  g_hash_table_replace (provisioner->removed, g_strdup (id), removed_at);
+  g_hash_table_remove (provisioner->unlisted, id);
+  reopen_pools (provisioner);
 }
 
 void
@@ -116,20 +123,21 @@
 void
 kr_provisioner_records_relisted (KrProvisioner *provisioner)
 {
-  provisioner->records_read = kr_membership_is_leader (provisioner->node->membership);
+  provisioner->records_relisted = kr_membership_is_leader (provisioner->node->membership);
 }
 
 void
 kr_provisioner_unassigned_reported (KrProvisioner *provisioner, const KrReport *report)
 {
-  /* What left the records was deleted: a late copy of its report brings it back nowhere. */
-  if (!g_hash_table_contains (provisioner->fresh, report->machine) &&
-      !g_hash_table_contains (provisioner->left, report->machine)) {
-    kr_info ("machine %s: reports, but is in no part", report->machine);
+  /* A machine removed from the records was deleted. A late duplicate of its report must not make it
+   * available for assignment again. */
+  if (!g_hash_table_contains (provisioner->unlisted, report->machine) &&
+      !g_hash_table_contains (provisioner->removed, report->machine)) {
+    kr_info ("machine %s: reports, but is assigned to no shard", report->machine);
     KrListedMachine *listed =
-        machine_new (report->machine, report->type, report->zone, report->spot);
+        listed_machine_new (report->machine, report->type, report->zone, report->spot);
     listed->state = KR_MACHINE_RUNNING;
-    g_hash_table_insert (provisioner->fresh, listed->id, listed);
+    g_hash_table_insert (provisioner->unlisted, listed->id, listed);
   }
 }
 
@@ -137,68 +145,73 @@
 find_machine (KrProvisioner *provisioner, const char *id)
 {
   const KrListedMachine *listed = g_hash_table_lookup (provisioner->listed, id);
-  return listed ? listed : g_hash_table_lookup (provisioner->fresh, id);
+  return listed ? listed : g_hash_table_lookup (provisioner->unlisted, id);
 }
 
-/* --- the exchange with owners -------------------------------------------------------- */
-/* node: who sent it. Guards against a node that the state service alone does not reach: it goes on
- * for its former parts, whose machines it sees fall silent one after the other. */
+/* --- summaries and directives -------------------------------------------------------- */
+/* Stores a summary sent by `node` if that node owns the shard. Summaries of former owners are
+ * ignored: a node that cannot reach only the state service keeps sending summaries of shards that
+ * others have taken over, in which their machines fall silent one after the other. */
 static void
-take_summary (KrProvisioner *provisioner, json_t *s, const char *node)
+store_summary (KrProvisioner *provisioner, json_t *summary, const char *node)
 {
-  json_t *shard = json_object_get (s, "Part");
-  guint p = (guint) json_integer_value (shard);
-  if (!json_is_integer (shard) || p >= provisioner->node->settings->shard_count ||
-      !json_is_array (json_object_get (s, "Needs"))) {
-    kr_info ("peers: a summary is malformed, refused");
+  json_t *shard_json = json_object_get (summary, "Part");
+  guint shard = (guint) json_integer_value (shard_json);
+  if (!json_is_integer (shard_json) || shard >= provisioner->node->settings->shard_count ||
+      !json_is_array (json_object_get (summary, "Needs"))) {
+    kr_info ("peers: ignored a malformed shard summary");
     return;
   }
-  if (g_strcmp0 (kr_membership_holder (provisioner->node->membership, p)->node, node) != 0)
+  if (g_strcmp0 (kr_membership_holder (provisioner->node->membership, shard)->node, node) != 0)
     return;
-  json_decref (provisioner->summaries[p].value);
-  provisioner->summaries[p].value = json_incref (s);
-  provisioner->summaries[p].at = kr_now ();
+  json_decref (provisioner->summaries[shard].value);
+  provisioner->summaries[shard].value = json_incref (summary);
+  provisioner->summaries[shard].received_at = kr_now ();
 }
 
 void
 kr_provisioner_note_summary (KrProvisioner *provisioner, guint shard, json_t *summary)
 {
   double age = kr_wall_clock_s () - json_number_value (json_object_get (summary, "At"));
-  /* A scan may bring what was told in an earlier cut; and an exchange tells more. */
+  /* Listing the keys may return a summary stored during an earlier partition. A summary received
+   * directly from the owner is more complete. */
   if (age < KR_STORED_SUMMARY_MAX_AGE_S &&
       kr_membership_is_leader (provisioner->node->membership) &&
-      kr_now () - provisioner->summaries[shard].at > kr_seconds_to_us (KR_LEADER_SILENCE_S))
-    take_summary (provisioner, summary,
-                  kr_membership_holder (provisioner->node->membership, shard)->node);
+      kr_now () - provisioner->summaries[shard].received_at >
+          kr_seconds_to_us (KR_LEADER_SILENCE_S))
+    store_summary (provisioner, summary,
+                   kr_membership_holder (provisioner->node->membership, shard)->node);
 }
 
 gint64
 kr_provisioner_last_polled (KrProvisioner *provisioner)
 {
-  return provisioner->asked;
+  return provisioner->last_polled_at;
 }
 
 json_t *
 kr_provisioner_build_summaries (KrProvisioner *provisioner)
 {
   json_t *shards = json_array ();
-  provisioner->asked = kr_now ();
-  for (guint p = 0; p < provisioner->node->settings->shard_count; p++)
-    if (provisioner->node->shards[p])
-      json_array_append_new (shards, kr_shard_summary (provisioner->node->shards[p]));
+  provisioner->last_polled_at = kr_now ();
+  for (guint shard = 0; shard < provisioner->node->settings->shard_count; shard++)
+    if (provisioner->node->shards[shard])
+      json_array_append_new (shards, kr_shard_summary (provisioner->node->shards[shard]));
   return json_pack ("{so sf}", "Parts", shards, "Backlog",
                     kr_node_queued_writes (provisioner->node));
 }
 
-/* Guards against a leader that does not know yet that there is a newer one. */
+/* Whether a newer leader than `leader` (its fencing token; 0: unknown) has been seen. A former
+ * leader keeps sending requests until it learns that it was replaced. */
 static gboolean
-superseded (KrProvisioner *provisioner, guint64 leader)
+is_superseded (KrProvisioner *provisioner, guint64 leader)
 {
-  provisioner->newest_leader = MAX (provisioner->newest_leader,
-                                    kr_membership_leader (provisioner->node->membership)->revision);
-  if (leader && leader < provisioner->newest_leader)
+  provisioner->newest_leader_token =
+      MAX (provisioner->newest_leader_token,
+           kr_membership_leader (provisioner->node->membership)->revision);
+  if (leader && leader < provisioner->newest_leader_token)
     return TRUE;
-  provisioner->newest_leader = MAX (provisioner->newest_leader, leader);
+  provisioner->newest_leader_token = MAX (provisioner->newest_leader_token, leader);
   return FALSE;
 }
 
@@ -208,29 +221,29 @@
   json_t *writes = json_object_get (body, "Writes"), *leader = json_object_get (body, "Leader");
   if (!json_is_number (writes) || !json_is_integer (leader) || !(json_number_value (writes) > 0))
     return 400;
-  if (superseded (provisioner, (guint64) json_integer_value (leader)))
+  if (is_superseded (provisioner, (guint64) json_integer_value (leader)))
     return 409;
   kr_node_set_write_rate (provisioner->node, json_number_value (writes));
   return 200;
 }
 
 gboolean
-kr_provisioner_apply_directives (KrProvisioner *provisioner, json_t *wishes, guint64 leader)
+kr_provisioner_apply_directives (KrProvisioner *provisioner, json_t *directives, guint64 leader)
 {
-  json_t *w, *id;
+  json_t *directive, *id;
   size_t i, k;
 
-  if (superseded (provisioner, leader))
+  if (is_superseded (provisioner, leader))
     return FALSE;
-  json_array_foreach (wishes, i, w)
+  json_array_foreach (directives, i, directive)
   {
-    guint p = (guint) json_integer_value (json_object_get (w, "Part"));
+    guint index = (guint) json_integer_value (json_object_get (directive, "Part"));
     KrShard *shard =
-        p < provisioner->node->settings->shard_count ? provisioner->node->shards[p] : NULL;
-    json_t *to = json_object_get (w, "To");
+        index < provisioner->node->settings->shard_count ? provisioner->node->shards[index] : NULL;
+    json_t *to = json_object_get (directive, "To");
     if (!shard)
       continue;
-    json_array_foreach (json_object_get (w, "Ids"), k, id)
+    json_array_foreach (json_object_get (directive, "Ids"), k, id)
     {
       const char *name = json_string_value (id);
       if (name && json_is_integer (to))
@@ -243,113 +256,118 @@
   return TRUE;
 }
 
-static void act (KrProvisioner *provisioner, gboolean whole);
+static void reconcile (KrProvisioner *provisioner, gboolean full);
 
 typedef struct {
   KrProvisioner *provisioner;
-  const char *node; /* who was asked */
-  guint index;      /* its place in `backlogs` */
-  gint64 round;     /* its act_at */
-} Asked;
+  const char *node; /* the node that was asked */
+  guint index;      /* its index in `backlogs` */
+  gint64 round;     /* `reconcile_at` of the round that sent the request */
+} SummaryPoll;
 
 static void
-asked (guint status, json_t *body, gpointer data)
+summaries_received (guint status, json_t *body, gpointer data)
 {
-  Asked *a = data;
-  KrProvisioner *provisioner = a->provisioner;
-  json_t *s;
+  SummaryPoll *poll = data;
+  KrProvisioner *provisioner = poll->provisioner;
+  json_t *summary;
   size_t i;
   if (status == 200)
-    json_array_foreach (json_object_get (body, "Parts"), i, s)
-        take_summary (provisioner, s, a->node);
+    json_array_foreach (json_object_get (body, "Parts"), i, summary)
+        store_summary (provisioner, summary, poll->node);
   json_t *backlog = json_object_get (body, "Backlog");
-  if (status == 200 && provisioner->act_at == a->round && json_is_number (backlog))
-    provisioner->backlogs[a->index] = json_number_value (backlog);
-  if (status == 200 && provisioner->act_at == a->round && --provisioner->asking == 0)
-    act (provisioner, TRUE); /* all have answered: nothing to wait for */
-  g_free (a);
+  if (status == 200 && provisioner->reconcile_at == poll->round && json_is_number (backlog))
+    provisioner->backlogs[poll->index] = json_number_value (backlog);
+  if (status == 200 && provisioner->reconcile_at == poll->round &&
+      --provisioner->polls_pending == 0)
+    reconcile (provisioner, TRUE); /* all nodes have answered */
+  g_free (poll);
 }
 
 static void
-fulfilled (guint status, json_t *body, gpointer data)
+ignore_response (guint status, json_t *body, gpointer data)
 {
 }
 
-/* Asks every node for the summaries of its parts. */
+/* Starts a round: asks every node for the summaries of its shards. */
 static void
-exchange (KrProvisioner *provisioner, gint64 now)
+poll_summaries (KrProvisioner *provisioner, gint64 now)
 {
   const KrSettings *settings = provisioner->node->settings;
-  provisioner->act_at = now + KR_LEADER_ANSWERS_MS * G_GINT64_CONSTANT (1000);
-  provisioner->asking = settings->peers->len + 1;
-  for (guint i = 0; i < provisioner->asking; i++)
+  provisioner->reconcile_at = now + KR_LEADER_ANSWERS_MS * G_GINT64_CONSTANT (1000);
+  provisioner->polls_pending = settings->peers->len + 1;
+  for (guint i = 0; i < provisioner->polls_pending; i++)
     provisioner->backlogs[i] = -1;
   for (guint i = 0; i < settings->peers->len; i++) {
     const KrPeerSettings *peer = settings->peers->pdata[i];
-    Asked *a = g_new (Asked, 1);
-    *a = (Asked){ provisioner, peer->name, i + 1, provisioner->act_at };
+    SummaryPoll *poll = g_new (SummaryPoll, 1);
+    *poll = (SummaryPoll){ provisioner, peer->name, i + 1, provisioner->reconcile_at };
     kr_http_client_call (provisioner->node->peer_client, "GET", peer->addr, KR_PEER_SUMMARIES, NULL,
-                         KR_PEER_TIMEOUT_MS, provisioner->cancel, asked, a);
+                         KR_PEER_TIMEOUT_MS, provisioner->cancel, summaries_received, poll);
   }
-  Asked *own = g_new (Asked, 1);
-  *own = (Asked){ provisioner, settings->node_name, 0, provisioner->act_at };
-  json_t *mine = kr_provisioner_build_summaries (provisioner);
-  asked (200, mine, own);
-  json_decref (mine);
+  SummaryPoll *own = g_new (SummaryPoll, 1);
+  *own = (SummaryPoll){ provisioner, settings->node_name, 0, provisioner->reconcile_at };
+  json_t *summaries = kr_provisioner_build_summaries (provisioner);
+  summaries_received (200, summaries, own);
+  json_decref (summaries);
 }
 
-/* The wishes for a part as a message: machines that have the same to do in one list. */
+/* Queues a directive for the shard's owner: move the machine to the shard `to`, or return it if
+ * `to` is negative. Machines with the same directive share one message entry. */
 static void
-wish (KrProvisioner *provisioner, guint shard, const char *id, gint to)
+add_directive (KrProvisioner *provisioner, guint shard, const char *id, gint to)
 {
-  json_t *w = NULL, *o;
+  json_t *directive = NULL, *entry;
   size_t i;
-  if (!provisioner->wishes[shard])
-    provisioner->wishes[shard] = json_array ();
-  json_array_foreach (provisioner->wishes[shard], i, o)
+  if (!provisioner->directives[shard])
+    provisioner->directives[shard] = json_array ();
+  json_array_foreach (provisioner->directives[shard], i, entry)
   {
-    json_t *t = json_object_get (o, "To");
-    if (t ? json_integer_value (t) == to : to < 0)
-      w = o;
+    json_t *entry_to = json_object_get (entry, "To");
+    if (entry_to ? json_integer_value (entry_to) == to : to < 0)
+      directive = entry;
   }
-  if (!w) {
-    w = json_pack ("{sI s[]}", "Part", (json_int_t) shard, "Ids");
+  if (!directive) {
+    directive = json_pack ("{sI s[]}", "Part", (json_int_t) shard, "Ids");
     if (to >= 0)
-      json_object_set_new (w, "To", json_integer (to));
-    json_array_append_new (provisioner->wishes[shard], w);
+      json_object_set_new (directive, "To", json_integer (to));
+    json_array_append_new (provisioner->directives[shard], directive);
   }
-  /* What does not fit is wished again in the next round. */
-  json_t *ids = json_object_get (w, "Ids");
+  /* Machines that do not fit get their directive in the next round. */
+  json_t *ids = json_object_get (directive, "Ids");
   if (json_array_size (ids) < KR_DIRECTIVE_MACHINES_MAX)
     json_array_append_new (ids, json_string (id));
 }
 
-/* Tells the owners, each once. */
+/* Sends the queued directives to the owners of the shards. There are no retries: the next round
+ * creates the directives again if they are still needed. */
 static void
-send_wishes (KrProvisioner *provisioner)
+send_directives (KrProvisioner *provisioner)
 {
   const KrSettings *settings = provisioner->node->settings;
   guint64 token = kr_membership_leader (provisioner->node->membership)->revision;
-  for (guint p = 0; p < settings->shard_count; p++) {
-    json_t *wishes = g_steal_pointer (&provisioner->wishes[p]);
-    const KrHolder *holder = kr_membership_holder (provisioner->node->membership, p);
-    if (wishes && holder->node && g_str_equal (holder->node, settings->node_name))
-      kr_provisioner_apply_directives (provisioner, wishes, token);
-    for (guint i = 0; wishes && holder->node && i < settings->peers->len; i++) {
+  for (guint shard = 0; shard < settings->shard_count; shard++) {
+    json_t *directives = g_steal_pointer (&provisioner->directives[shard]);
+    const KrHolder *holder = kr_membership_holder (provisioner->node->membership, shard);
+    if (directives && holder->node && g_str_equal (holder->node, settings->node_name))
+      kr_provisioner_apply_directives (provisioner, directives, token);
+    for (guint i = 0; directives && holder->node && i < settings->peers->len; i++) {
       const KrPeerSettings *peer = settings->peers->pdata[i];
       if (g_str_equal (peer->name, holder->node))
-        kr_http_client_call (provisioner->node->peer_client, "POST", peer->addr, KR_PEER_DIRECTIVES,
-                             json_pack ("{sO sI}", "Wishes", wishes, "Leader", (json_int_t) token),
-                             KR_PEER_TIMEOUT_MS, provisioner->cancel, fulfilled, provisioner);
+        kr_http_client_call (
+            provisioner->node->peer_client, "POST", peer->addr, KR_PEER_DIRECTIVES,
+            json_pack ("{sO sI}", "Wishes", directives, "Leader", (json_int_t) token),
+            KR_PEER_TIMEOUT_MS, provisioner->cancel, ignore_response, provisioner);
     }
-    json_decref (wishes);
+    json_decref (directives);
   }
 }
 
-/* Guards against ends that wait for minutes: a swarm of small jobs in one part has more to write
- * than its owner's fixed part of the limit, while the other nodes write little. */
+/* Divides the state service's write rate among the nodes by their backlogs. Without this, the final
+ * states of jobs were written minutes late when one shard ran very many small jobs: its owner had
+ * more to write than its fixed share of the limit, while the other nodes wrote little. */
 static void
-share_writes (KrProvisioner *provisioner)
+allot_write_rates (KrProvisioner *provisioner)
 {
   const KrSettings *settings = provisioner->node->settings;
   guint nodes = settings->peers->len + 1;
@@ -369,74 +387,79 @@
       kr_http_client_call (
           provisioner->node->peer_client, "POST", peer->addr, KR_PEER_BUDGET,
           json_pack ("{sI sf}", "Leader", (json_int_t) token, "Writes", allotted[i]),
-          KR_PEER_TIMEOUT_MS, provisioner->cancel, fulfilled, provisioner);
+          KR_PEER_TIMEOUT_MS, provisioner->cancel, ignore_response, provisioner);
   }
 }
 
-/* Before machines are given out, all records are read anew: an earlier leader, or a write of ours
- * with unknown outcome, may have put them into a part already. */
+/* Relists all machine records. This is needed before machines are assigned to shards: an earlier
+ * leader, or a record update with an unknown outcome, may have assigned them already. */
 static void
-read_records (KrProvisioner *provisioner)
+relist_records (KrProvisioner *provisioner)
 {
-  provisioner->records_read = FALSE;
+  provisioner->records_relisted = FALSE;
   kr_membership_relist (provisioner->node->membership);
 }
 
-/* --- giving new machines to parts ---------------------------------------------------- */
+/* --- assigning new machines to shards ------------------------------------------------ */
 typedef struct {
   KrProvisioner *provisioner;
-  KrRecordUpdate *draft;
-} Assign;
+  KrRecordUpdate *update;
+} Assignment;
 
 static void
-assigned (guint status, json_t *body, gpointer data)
+assign_done (guint status, json_t *body, gpointer data)
 {
-  Assign *a = data;
-  KrProvisioner *provisioner = a->provisioner;
-  provisioner->assigning = FALSE;
+  Assignment *assignment = data;
+  KrProvisioner *provisioner = assignment->provisioner;
+  provisioner->assign_in_flight = FALSE;
   if (status == 200)
-    kr_record_update_committed (a->draft, kr_wire_revision (body));
+    kr_record_update_committed (assignment->update, kr_wire_revision (body));
   else if (status == 0) {
-    /* It may have been executed, or still be: a machine must not come into two parts. */
-    if (!provisioner->in_doubt)
-      provisioner->in_doubt = kr_record_update_chunk_version (a->draft, &provisioner->doubt);
-    kr_info ("rent: the outcome of giving machines to parts is unknown (chunk %u/%u, revision "
-             "%" G_GUINT64_FORMAT ")",
-             provisioner->doubt.shard, provisioner->doubt.chunk, provisioner->doubt.revision);
-    read_records (provisioner);
+    /* The update may have been applied, or may still be applied later. A machine must not be
+     * assigned to two shards. */
+    if (!provisioner->has_unconfirmed_update)
+      provisioner->has_unconfirmed_update =
+          kr_record_update_chunk_version (assignment->update, &provisioner->unconfirmed_chunk);
+    kr_info ("provisioner: the outcome of assigning machines to shards is unknown (chunk %u/%u, "
+             "revision %" G_GUINT64_FORMAT ")",
+             provisioner->unconfirmed_chunk.shard, provisioner->unconfirmed_chunk.chunk,
+             provisioner->unconfirmed_chunk.revision);
+    relist_records (provisioner);
   }
-  kr_record_update_free (a->draft);
-  g_free (a);
+  kr_record_update_free (assignment->update);
+  g_free (assignment);
 }
 
+/* Returns the machines that no shard's record contains. The caller frees the array; the machines
+ * belong to the provisioner. */
 static GPtrArray *
-homeless (KrProvisioner *provisioner, gint64 now)
+unassigned_machines (KrProvisioner *provisioner, gint64 now)
 {
-  GPtrArray *out = g_ptr_array_new ();
-  gint64 stale =
+  GPtrArray *unassigned = g_ptr_array_new ();
+  gint64 stale_us =
       kr_seconds_to_us (4 * provisioner->node->settings->cloud_list_lag_s + KR_LIST_STALE_S);
-  GHashTable *sources[] = { provisioner->fresh, provisioner->listed };
-  GHashTableIter it;
+  GHashTable *sources[] = { provisioner->unlisted, provisioner->listed };
+  GHashTableIter iter;
   gpointer id, value;
 
-  for (guint k = 0; k < G_N_ELEMENTS (sources); k++) {
-    g_hash_table_iter_init (&it, sources[k]);
-    while (g_hash_table_iter_next (&it, &id, &value)) {
-      gint64 *left = g_hash_table_lookup (provisioner->left, id);
+  for (guint source = 0; source < G_N_ELEMENTS (sources); source++) {
+    g_hash_table_iter_init (&iter, sources[source]);
+    while (g_hash_table_iter_next (&iter, &id, &value)) {
+      gint64 *removed_at = g_hash_table_lookup (provisioner->removed, id);
       if (kr_machine_records_find (provisioner->node->machine_records, id) ||
-          (k == 1 && g_hash_table_contains (provisioner->fresh, id)))
+          (source == 1 && g_hash_table_contains (provisioner->unlisted, id)))
         continue;
-      /* Deleted ones are still listed for a while. */
-      if (left && now - *left < stale)
+      /* The list still contains deleted machines for some time. */
+      if (removed_at && now - *removed_at < stale_us)
         continue;
-      g_ptr_array_add (out, value);
+      g_ptr_array_add (unassigned, value);
     }
   }
-  return out;
+  return unassigned;
 }
 
-/* The zone of a part's owner, or NULL. A machine in it stays in touch with its owner when zones are
- * cut off from each other. */
+/* Returns the zone of the shard's owner, or NULL if there is no owner. Machines in this zone can
+ * still reach the owner during a network partition between zones. */
 static const char *
 owner_zone (KrProvisioner *provisioner, guint shard)
 {
@@ -452,55 +475,62 @@
   return NULL;
 }
 
-/* Where most is lacking; among parts that lack a whole machine, one owned in its zone first. */
+/* Returns the shard with the largest deficit of CPUs. A shard that lacks at least the whole machine
+ * and whose owner is in the machine's zone is preferred. */
 static guint
-part_for (KrProvisioner *provisioner, const KrListedMachine *listed, double cpus,
-          const double *lack)
+shard_for_machine (KrProvisioner *provisioner, const KrListedMachine *listed, double cpus,
+                   const double *deficit)
 {
   guint best = 0;
-  gboolean best_near = FALSE;
-  for (guint p = 0; p < provisioner->node->settings->shard_count; p++) {
-    gboolean near = lack[p] >= cpus && g_strcmp0 (owner_zone (provisioner, p), listed->zone) == 0;
-    if (p == 0 || near > best_near || (near == best_near && lack[p] > lack[best])) {
-      best = p;
-      best_near = near;
+  gboolean best_same_zone = FALSE;
+  for (guint shard = 0; shard < provisioner->node->settings->shard_count; shard++) {
+    gboolean same_zone =
+        deficit[shard] >= cpus && g_strcmp0 (owner_zone (provisioner, shard), listed->zone) == 0;
+    if (shard == 0 || same_zone > best_same_zone ||
+        (same_zone == best_same_zone && deficit[shard] > deficit[best])) {
+      best = shard;
+      best_same_zone = same_zone;
     }
   }
   return best;
 }
 
-/* Each machine goes where it is lacking, all in one transaction. */
+/* Assigns the machines to the shards with a deficit, in one transaction. */
 static void
-assign (KrProvisioner *provisioner, GPtrArray *machines, double *lack)
+assign_machines (KrProvisioner *provisioner, GPtrArray *machines, double *deficit)
 {
   const KrSettings *settings = provisioner->node->settings;
-  if (provisioner->assigning || !provisioner->records_read)
+  if (provisioner->assign_in_flight || !provisioner->records_relisted)
     return;
-  Assign *a = g_new (Assign, 1);
-  *a = (Assign){ provisioner, kr_record_update_new (provisioner->node->machine_records) };
-  /* Guards against a write that is carried out late, when its machines have been given to others:
-   * reading the records anew shows only what was carried out before. */
-  if (provisioner->in_doubt &&
-      kr_machine_records_changed_since (provisioner->node->machine_records, &provisioner->doubt))
-    provisioner->in_doubt = FALSE;
-  if (provisioner->in_doubt)
-    kr_record_update_touch_chunk (a->draft, &provisioner->doubt);
-  for (guint i = 0; i < machines->len && kr_record_update_ops (a->draft) < settings->state_txn_ops;
+  Assignment *assignment = g_new (Assignment, 1);
+  *assignment =
+      (Assignment){ provisioner, kr_record_update_new (provisioner->node->machine_records) };
+  /* An earlier update with an unknown outcome may be applied late, after its machines were assigned
+   * elsewhere; relisting the records shows only updates applied before. Writing a chunk that the
+   * earlier update expects unchanged makes that update fail. */
+  if (provisioner->has_unconfirmed_update &&
+      kr_machine_records_changed_since (provisioner->node->machine_records,
+                                        &provisioner->unconfirmed_chunk))
+    provisioner->has_unconfirmed_update = FALSE;
+  if (provisioner->has_unconfirmed_update)
+    kr_record_update_touch_chunk (assignment->update, &provisioner->unconfirmed_chunk);
+  for (guint i = 0;
+       i < machines->len && kr_record_update_ops (assignment->update) < settings->state_txn_ops;
        i++) {
     const KrListedMachine *listed = machines->pdata[i];
     const KrMachineType *type = kr_node_machine_type (provisioner->node, listed->type);
     double cpus = type ? type->cpus : 0;
-    guint best = part_for (provisioner, listed, cpus, lack);
-    kr_record_update_add (a->draft, best, listed->id, "");
-    lack[best] -= cpus;
+    guint best = shard_for_machine (provisioner, listed, cpus, deficit);
+    kr_record_update_add (assignment->update, best, listed->id, "");
+    deficit[best] -= cpus;
   }
   KrTxn *txn = kr_txn_new ();
   kr_txn_expect_revision (txn, KR_LEADER_KEY,
                           kr_membership_leader (provisioner->node->membership)->revision);
-  kr_record_update_add_to_txn (a->draft, txn);
-  provisioner->assigning = TRUE;
+  kr_record_update_add_to_txn (assignment->update, txn);
+  provisioner->assign_in_flight = TRUE;
   kr_state_commit (provisioner->node->state_client, txn, KR_QUEUE_HIGH, KR_STATE_TIMEOUT_MS,
-                   provisioner->cancel, assigned, a);
+                   provisioner->cancel, assign_done, assignment);
 }
 
 /* --- renting ------------------------------------------------------------------------- */
@@ -515,14 +545,14 @@
     pool->type = g_strdup (type);
     pool->zone = g_strdup (zone);
     pool->spot = spot;
-    pool->pause_ms = KR_POOL_BACKOFF_MS;
+    pool->backoff_ms = KR_POOL_BACKOFF_MS;
     g_hash_table_insert (provisioner->pools, g_steal_pointer (&key), pool);
   }
   return pool;
 }
 
 static void
-rented (guint status, json_t *body, gpointer data)
+rent_done (guint status, json_t *body, gpointer data)
 {
   Pool *pool = data;
   KrProvisioner *provisioner = pool->provisioner;
@@ -530,40 +560,43 @@
   g_auto (GStrv) ids = status == 200 ? kr_wire_rental_machines (body) : NULL;
   guint n = ids ? g_strv_length (ids) : 0;
 
-  pool->busy = FALSE;
+  pool->request_in_flight = FALSE;
   if (status != 200 && status != 503 && status != 400)
-    return; /* unknown: the same request again in the next period */
+    return; /* unknown outcome: the same request is retried in the next round */
   for (guint i = 0; i < n; i++)
     if (!kr_machine_records_find (provisioner->node->machine_records, ids[i])) {
-      KrListedMachine *listed = machine_new (ids[i], pool->type, pool->zone, pool->spot);
-      g_hash_table_insert (provisioner->fresh, listed->id, listed);
+      KrListedMachine *listed = listed_machine_new (ids[i], pool->type, pool->zone, pool->spot);
+      g_hash_table_insert (provisioner->unlisted, listed->id, listed);
     }
-  kr_info ("rent: %u of %u %s %s in %s%s%s", n, pool->count, pool->spot ? "spot" : "ordinary",
-           pool->type, pool->zone, n ? ", first " : "", n ? ids[0] : "");
-  if (n < pool->count) {
-    pool->closed_until = now + (gint64) (pool->pause_ms * 1000);
-    pool->pause_ms = MIN (pool->pause_ms * 2, KR_POOL_BACKOFF_MAX_MS);
+  kr_info ("provisioner: rented %u of %u %s %s machines in %s%s%s", n, pool->requested,
+           pool->spot ? "spot" : "on-demand", pool->type, pool->zone, n ? ", first " : "",
+           n ? ids[0] : "");
+  if (n < pool->requested) {
+    pool->backoff_until = now + (gint64) (pool->backoff_ms * 1000);
+    pool->backoff_ms = MIN (pool->backoff_ms * 2, KR_POOL_BACKOFF_MAX_MS);
   } else
-    pool->pause_ms = KR_POOL_BACKOFF_MS;
-  g_clear_pointer (&pool->request, g_free);
-  /* More may be wanted, here or, where this pool is closed, of others. */
-  provisioner->rent_at = now + KR_RENT_INTERVAL_MS * G_GINT64_CONSTANT (1000);
+    pool->backoff_ms = KR_POOL_BACKOFF_MS;
+  g_clear_pointer (&pool->request_name, g_free);
+  /* More machines may be needed, from this pool or, while it is in backoff, from others. */
+  provisioner->rent_due_at = now + KR_RENT_INTERVAL_MS * G_GINT64_CONSTANT (1000);
 }
 
 static void
-ask (KrProvisioner *provisioner, Pool *pool, guint count)
+send_rent_request (KrProvisioner *provisioner, Pool *pool, guint requested)
 {
-  if (!pool->request) {
-    /* Never used before, by any node: the leader's token is this leadership's alone. */
-    pool->request = g_strdup_printf ("kr-%" G_GUINT64_FORMAT "-%u",
-                                     kr_membership_leader (provisioner->node->membership)->revision,
-                                     ++provisioner->requests);
-    pool->count = MIN (count, KR_RENT_BATCH_MAX);
+  if (!pool->request_name) {
+    /* The name must be unique across all nodes. The leader's fencing token belongs to one term of
+     * leadership only. */
+    pool->request_name =
+        g_strdup_printf ("kr-%" G_GUINT64_FORMAT "-%u",
+                         kr_membership_leader (provisioner->node->membership)->revision,
+                         ++provisioner->request_counter);
+    pool->requested = MIN (requested, KR_RENT_BATCH_MAX);
   }
-  pool->busy = TRUE;
-  pool->asked_at = kr_now ();
-  kr_cloud_rent (provisioner->node->cloud_client, pool->request, pool->type, pool->zone, pool->spot,
-                 pool->count, provisioner->cancel, rented, pool);
+  pool->request_in_flight = TRUE;
+  pool->last_request_at = kr_now ();
+  kr_cloud_rent (provisioner->node->cloud_client, pool->request_name, pool->type, pool->zone,
+                 pool->spot, pool->requested, provisioner->cancel, rent_done, pool);
 }
 
 typedef struct {
@@ -573,27 +606,27 @@
 } Offer;
 
 static int
-by_price (gconstpointer a, gconstpointer b)
+compare_price (gconstpointer a, gconstpointer b)
 {
   double d = ((const Offer *) a)->price - ((const Offer *) b)->price;
   return d < 0 ? -1 : d > 0;
 }
 
-/* Requests whose outcome is not known go out again under their names. */
+/* Retries requests with an unknown outcome under their original names. */
 static void
-repeat_requests (KrProvisioner *provisioner)
+retry_unknown_requests (KrProvisioner *provisioner)
 {
-  GHashTableIter it;
+  GHashTableIter iter;
   gpointer value;
-  g_hash_table_iter_init (&it, provisioner->pools);
-  while (g_hash_table_iter_next (&it, NULL, &value)) {
+  g_hash_table_iter_init (&iter, provisioner->pools);
+  while (g_hash_table_iter_next (&iter, NULL, &value)) {
     Pool *pool = value;
-    if (pool->request && !pool->busy)
-      ask (provisioner, pool, pool->count);
+    if (pool->request_name && !pool->request_in_flight)
+      send_rent_request (provisioner, pool, pool->requested);
   }
 }
 
-/* What can be rented, the cheapest first. */
+/* Returns all rentable combinations of a type with spot or on-demand, cheapest first. */
 static GArray *
 offers_by_price (const GPtrArray *types)
 {
@@ -601,25 +634,25 @@
   for (guint i = 0; i < types->len; i++) {
     const KrMachineType *type = types->pdata[i];
     Offer spot = { type, TRUE, type->spot_price / MAX (type->cpus, 1) };
-    Offer ordinary = { type, FALSE, type->price / MAX (type->cpus, 1) };
+    Offer on_demand = { type, FALSE, type->price / MAX (type->cpus, 1) };
     if (type->spot_price > 0)
       g_array_append_val (offers, spot);
-    g_array_append_val (offers, ordinary);
+    g_array_append_val (offers, on_demand);
   }
-  g_array_sort (offers, by_price);
+  g_array_sort (offers, compare_price);
   return offers;
 }
 
 static gboolean
-any_spot_open (KrProvisioner *provisioner, gint64 now)
+any_spot_pool_open (KrProvisioner *provisioner, gint64 now)
 {
-  GHashTableIter it;
+  GHashTableIter iter;
   gpointer value;
   gboolean open = FALSE;
-  g_hash_table_iter_init (&it, provisioner->pools);
-  while (g_hash_table_iter_next (&it, NULL, &value)) {
+  g_hash_table_iter_init (&iter, provisioner->pools);
+  while (g_hash_table_iter_next (&iter, NULL, &value)) {
     const Pool *pool = value;
-    open |= pool->spot && (pool->busy || now >= pool->closed_until);
+    open |= pool->spot && (pool->request_in_flight || now >= pool->backoff_until);
   }
   return open;
 }
@@ -630,222 +663,233 @@
   GPtrArray *open = g_ptr_array_new ();
   for (char **zone = offer->type->zones; *zone; zone++) {
     Pool *pool = find_pool (provisioner, offer->type->name, *zone, offer->spot);
-    if (!pool->busy && !pool->request && now >= pool->closed_until)
+    if (!pool->request_in_flight && !pool->request_name && now >= pool->backoff_until)
       g_ptr_array_add (open, pool);
   }
   return open;
 }
 
 static gboolean
-offer_serves (const Offer *offer, const Pool *pool, const KrDemand *need, gboolean spot_open)
+offer_serves (const Offer *offer, const Pool *pool, const KrDemand *demand, gboolean spot_open)
 {
-  /* Work that may use spot gets ordinary machines only when spot ones are refused. */
-  if (need->unmet_slots <= 1e-9 || (!offer->spot && need->requirements->spot_allowed && spot_open))
+  /* Demand that allows spot machines gets on-demand machines only while all spot pools are in
+   * backoff. */
+  if (demand->unmet_slots <= 1e-9 ||
+      (!offer->spot && demand->requirements->spot_allowed && spot_open))
     return FALSE;
-  return kr_placement_allowed (need->requirements, offer->type->name, pool->zone, offer->spot) &&
-         kr_placement_fits_type (need->requirements, offer->type);
+  return kr_placement_allowed (demand->requirements, offer->type->name, pool->zone, offer->spot) &&
+         kr_placement_fits_type (demand->requirements, offer->type);
 }
 
-/* Asks a pool for its share, one of `pools` that are left, of what is unmet. */
+/* Rents machines for the unmet demand from one pool. The demand is divided evenly among the `pools`
+ * open pools that remain, this one included. */
 static void
-rent_from (KrProvisioner *provisioner, const Offer *offer, Pool *pool, guint pools,
-           GPtrArray *needs, gboolean spot_open)
+rent_from_pool (KrProvisioner *provisioner, const Offer *offer, Pool *pool, guint pools,
+                GPtrArray *demands, gboolean spot_open)
 {
   double machines = 0;
-  g_autofree double *taken = g_new0 (double, needs->len);
-  for (guint i = 0; i < needs->len; i++) {
-    const KrDemand *need = needs->pdata[i];
-    if (!offer_serves (offer, pool, need, spot_open))
+  g_autofree double *taken = g_new0 (double, demands->len);
+  for (guint i = 0; i < demands->len; i++) {
+    const KrDemand *demand = demands->pdata[i];
+    if (!offer_serves (offer, pool, demand, spot_open))
       continue;
-    taken[i] = need->requirements->zone ? need->unmet_slots : need->unmet_slots / pools;
-    machines += taken[i] * kr_placement_machine_share (need->requirements, offer->type);
-  }
-  /* What is over a call's size is left to the other pools: a thousand machines from one, 50 at a
-   * time, would come late. */
-  double asked = machines > 0 ? MIN (1, KR_RENT_BATCH_MAX / machines) : 0;
-  for (guint i = 0; i < needs->len; i++)
-    ((KrDemand *) needs->pdata[i])->unmet_slots -= taken[i] * asked;
+    taken[i] = demand->requirements->zone ? demand->unmet_slots : demand->unmet_slots / pools;
+    machines += taken[i] * kr_placement_machine_share (demand->requirements, offer->type);
+  }
+  /* Demand beyond one request's size is left to the other pools: a thousand machines from a single
+   * pool, 50 per request, would arrive late. */
+  double fraction = machines > 0 ? MIN (1, KR_RENT_BATCH_MAX / machines) : 0;
+  for (guint i = 0; i < demands->len; i++)
+    ((KrDemand *) demands->pdata[i])->unmet_slots -= taken[i] * fraction;
   if (machines > KR_RENT_MIN_MACHINES)
-    ask (provisioner, pool, (guint) ceil (machines));
+    send_rent_request (provisioner, pool, (guint) ceil (machines));
 }
 
-/* What no machine will serve is asked of the cheapest open pools: one call a type and zone. */
+/* Rents machines for demand that no existing or ordered machine can serve, from the cheapest open
+ * pools first, with one request per type and zone. */
 static void
-rent_unmet (KrProvisioner *provisioner, GPtrArray *needs, gint64 now)
+rent_unmet (KrProvisioner *provisioner, GPtrArray *demands, gint64 now)
 {
-  repeat_requests (provisioner);
+  retry_unknown_requests (provisioner);
   g_autoptr (GArray) offers = offers_by_price (provisioner->node->machine_types);
-  gboolean spot_open = any_spot_open (provisioner, now);
+  gboolean spot_open = any_spot_pool_open (provisioner, now);
   for (guint i = 0; i < offers->len; i++) {
     const Offer *offer = &g_array_index (offers, Offer, i);
     g_autoptr (GPtrArray) open = open_pools (provisioner, offer, now);
     for (guint k = 0; k < open->len; k++)
-      rent_from (provisioner, offer, open->pdata[k], open->len - k, needs, spot_open);
+      rent_from_pool (provisioner, offer, open->pdata[k], open->len - k, demands, spot_open);
   }
 }
 
 /* --- the leader's round -------------------------------------------------------------- */
 static KrDemand *
-need_parse (json_t *o, guint shard)
+demand_parse (json_t *json, guint shard)
 {
-  KrDemand *need = g_new0 (KrDemand, 1);
-  json_t *types = json_object_get (o, "Types"), *t;
+  KrDemand *demand = g_new0 (KrDemand, 1);
+  json_t *types = json_object_get (json, "Types"), *name;
   size_t i;
-  need->shard = shard;
-  need->requirements = g_new0 (KrJobSpec, 1);
+  demand->shard = shard;
+  demand->requirements = g_new0 (KrJobSpec, 1);
   if (json_is_array (types)) {
-    need->requirements->types = g_new0 (char *, json_array_size (types) + 1);
-    json_array_foreach (types, i, t) need->requirements->types[i] =
-        g_strdup (json_string_value (t));
-  }
-  need->requirements->zone = g_strdup (json_string_value (json_object_get (o, "Zone")));
-  need->requirements->spot_allowed = json_is_true (json_object_get (o, "Spot"));
-  need->requirements->cpus = json_number_value (json_object_get (o, "Cpus"));
-  need->requirements->gpus = json_number_value (json_object_get (o, "Gpus"));
-  need->requirements->mem_gb = json_number_value (json_object_get (o, "Mem"));
-  need->goal_slots = json_number_value (json_object_get (o, "Slots"));
-  /* Not told by earlier versions: */
-  need->starved_slots = json_number_value (json_object_get (o, "First"));
-  json_t *most = json_object_get (o, "Most");
-  need->max_slots = json_is_number (most) ? json_number_value (most) : need->goal_slots;
-  need->urgent = json_is_true (json_object_get (o, "Urgent"));
-  return need;
+    demand->requirements->types = g_new0 (char *, json_array_size (types) + 1);
+    json_array_foreach (types, i, name) demand->requirements->types[i] =
+        g_strdup (json_string_value (name));
+  }
+  demand->requirements->zone = g_strdup (json_string_value (json_object_get (json, "Zone")));
+  demand->requirements->spot_allowed = json_is_true (json_object_get (json, "Spot"));
+  demand->requirements->cpus = json_number_value (json_object_get (json, "Cpus"));
+  demand->requirements->gpus = json_number_value (json_object_get (json, "Gpus"));
+  demand->requirements->mem_gb = json_number_value (json_object_get (json, "Mem"));
+  demand->goal_slots = json_number_value (json_object_get (json, "Slots"));
+  /* Earlier versions do not send the following fields. */
+  demand->starved_slots = json_number_value (json_object_get (json, "First"));
+  json_t *most = json_object_get (json, "Most");
+  demand->max_slots = json_is_number (most) ? json_number_value (most) : demand->goal_slots;
+  demand->urgent = json_is_true (json_object_get (json, "Urgent"));
+  return demand;
 }
 
 typedef struct {
   KrProvisioner *provisioner;
-  GHashTable *machines; /* id -> json_t, of the summaries */
+  GHashTable *machines; /* id -> json_t: the machine's entry in a summary */
   GPtrArray *supplies;
-} Collect;
+} CollectContext;
 
-/* Guards against machines that come up late or never: what they were rented for is rented
- * elsewhere. One that comes up after all is used, or goes back as not needed. */
+/* Whether the machine takes so long to boot that it no longer counts as supply, so that a
+ * replacement is rented. If it does boot later, it is used or returned as unneeded. */
 static gboolean
-overdue (const KrListedMachine *listed, const KrMachineType *type)
+is_boot_overdue (const KrListedMachine *listed, const KrMachineType *type)
 {
   return type && listed->state == KR_MACHINE_STARTING &&
          listed->age_s > type->boot_s * KR_BOOT_LATE_FACTOR;
 }
 
 static void
-collect_member (const char *id, const KrMachineRecord *member, gpointer data)
+collect_machine (const char *id, const KrMachineRecord *record, gpointer data)
 {
-  const Collect *c = data;
-  const KrListedMachine *listed = find_machine (c->provisioner, id);
-  json_t *b = g_hash_table_lookup (c->machines, id);
-  const char *type = listed ? listed->type : json_string_value (json_object_get (b, "Type"));
+  const CollectContext *context = data;
+  const KrListedMachine *listed = find_machine (context->provisioner, id);
+  json_t *reported = g_hash_table_lookup (context->machines, id);
+  const char *type = listed ? listed->type : json_string_value (json_object_get (reported, "Type"));
   KrSupply *supply = g_new0 (KrSupply, 1);
   supply->id = g_strdup (id);
-  supply->shard = (gint) member->shard;
-  supply->type = type ? kr_node_machine_type (c->provisioner->node, type) : NULL;
+  supply->shard = (gint) record->shard;
+  supply->type = type ? kr_node_machine_type (context->provisioner->node, type) : NULL;
   supply->zone = listed ? listed->zone : NULL;
-  supply->spot = listed ? listed->spot : json_is_true (json_object_get (b, "Spot"));
-  supply->idle_s = b ? json_number_value (json_object_get (b, "Idle")) : -1;
-  supply->drain_s = json_number_value (json_object_get (b, "Rest"));
-  supply->target_shard = b ? (gint) json_integer_value (json_object_get (b, "To")) : -1;
-  supply->up = !b || json_is_true (json_object_get (b, "Up"));
-  supply->unavailable = json_is_true (json_object_get (b, "Going")) ||
+  supply->spot = listed ? listed->spot : json_is_true (json_object_get (reported, "Spot"));
+  supply->idle_s = reported ? json_number_value (json_object_get (reported, "Idle")) : -1;
+  supply->drain_s = json_number_value (json_object_get (reported, "Rest"));
+  supply->target_shard =
+      reported ? (gint) json_integer_value (json_object_get (reported, "To")) : -1;
+  supply->up = !reported || json_is_true (json_object_get (reported, "Up"));
+  supply->unavailable = json_is_true (json_object_get (reported, "Going")) ||
                         (listed && (listed->state == KR_MACHINE_FAILED ||
-                                    (!supply->up && overdue (listed, supply->type))));
-  g_ptr_array_add (c->supplies, supply);
+                                    (!supply->up && is_boot_overdue (listed, supply->type))));
+  g_ptr_array_add (context->supplies, supply);
 }
 
 static void
-collect (KrProvisioner *provisioner, GPtrArray *needs, GPtrArray *supplies, gint64 now)
+collect (KrProvisioner *provisioner, GPtrArray *demands, GPtrArray *supplies, gint64 now)
 {
   g_autoptr (GHashTable) machines = g_hash_table_new (g_str_hash, g_str_equal);
-  json_t *o;
+  json_t *entry;
   size_t i;
 
-  for (guint p = 0; p < provisioner->node->settings->shard_count; p++) {
-    Summary *summary = &provisioner->summaries[p];
-    if (!summary->value || now - summary->at > kr_seconds_to_us (KR_SUMMARY_MAX_AGE_S))
+  for (guint shard = 0; shard < provisioner->node->settings->shard_count; shard++) {
+    Summary *summary = &provisioner->summaries[shard];
+    if (!summary->value || now - summary->received_at > kr_seconds_to_us (KR_SUMMARY_MAX_AGE_S))
       continue;
-    json_array_foreach (json_object_get (summary->value, "Needs"), i, o)
-        g_ptr_array_add (needs, need_parse (o, p));
-    json_array_foreach (json_object_get (summary->value, "Berths"), i, o)
-        g_hash_table_insert (machines, (gpointer) json_string_value (json_object_get (o, "Id")), o);
+    json_array_foreach (json_object_get (summary->value, "Needs"), i, entry)
+        g_ptr_array_add (demands, demand_parse (entry, shard));
+    json_array_foreach (json_object_get (summary->value, "Berths"), i, entry) g_hash_table_insert (
+        machines, (gpointer) json_string_value (json_object_get (entry, "Id")), entry);
   }
-  const Collect c = { provisioner, machines, supplies };
-  kr_machine_records_foreach_all (provisioner->node->machine_records, collect_member,
-                                  (gpointer) &c);
+  const CollectContext context = { provisioner, machines, supplies };
+  kr_machine_records_foreach_all (provisioner->node->machine_records, collect_machine,
+                                  (gpointer) &context);
 }
 
 static gboolean
-waiting (KrProvisioner *provisioner, guint shard)
+has_pending (KrProvisioner *provisioner, guint shard)
 {
   return json_is_true (json_object_get (provisioner->summaries[shard].value, "Waiting"));
 }
 
 static void
-moved (const KrSupply *machine, guint to, gpointer data)
+add_move_directive (const KrSupply *machine, guint to, gpointer data)
 {
-  wish (data, (guint) machine->shard, machine->id, (gint) to);
+  add_directive (data, (guint) machine->shard, machine->id, (gint) to);
 }
 
-/* Toward each part's share; busy machines once a period. */
+/* Moves machines toward the target CPUs of each shard. Busy machines are moved only once every
+ * KR_REBALANCE_BUSY_INTERVAL_MS. */
 static void
-rebalance (KrProvisioner *provisioner, GPtrArray *supplies, const double *targets, gint64 now)
+rebalance_shards (KrProvisioner *provisioner, GPtrArray *supplies, const double *targets,
+                  gint64 now)
 {
-  guint size = provisioner->node->settings->shard_count;
-  g_autofree const char **zones = g_new0 (const char *, size);
-  g_autofree gboolean *waits = g_new0 (gboolean, size);
-  for (guint p = 0; p < size; p++) {
-    zones[p] = owner_zone (provisioner, p);
-    waits[p] = waiting (provisioner, p);
+  guint shard_count = provisioner->node->settings->shard_count;
+  g_autofree const char **zones = g_new0 (const char *, shard_count);
+  g_autofree gboolean *pending = g_new0 (gboolean, shard_count);
+  for (guint shard = 0; shard < shard_count; shard++) {
+    zones[shard] = owner_zone (provisioner, shard);
+    pending[shard] = has_pending (provisioner, shard);
   }
-  const KrRebalanceInput in = { size, targets, zones, waits, now >= provisioner->next_move };
-  kr_rebalance (&in, supplies, moved, provisioner);
+  const KrRebalanceInput in = { shard_count, targets, zones, pending,
+                                now >= provisioner->next_busy_rebalance };
+  kr_rebalance (&in, supplies, add_move_directive, provisioner);
   if (in.may_drain_busy)
-    provisioner->next_move = now + KR_REBALANCE_BUSY_INTERVAL_MS * 1000;
+    provisioner->next_busy_rebalance = now + KR_REBALANCE_BUSY_INTERVAL_MS * 1000;
 }
 
-/* A new leader must not rent what is there already: first it hears all parts, or waits a while for
- * those that do not answer, and sees one list. */
+/* A new leader must not rent machines that exist already. It first needs the summaries of all
+ * shards (those that do not answer are waited for during KR_NEW_LEADER_WAIT_S), the machine types,
+ * one machine list and the relisted records. */
 static gboolean
-knows_enough (KrProvisioner *provisioner, gint64 now)
+is_ready (KrProvisioner *provisioner, gint64 now)
 {
-  provisioner->heard |= provisioner->asking == 0 ||
-                        now - provisioner->leading_since > kr_seconds_to_us (KR_NEW_LEADER_WAIT_S);
-  return provisioner->heard && provisioner->node->machine_types && provisioner->had_list &&
-         provisioner->records_read;
+  provisioner->warmed_up |=
+      provisioner->polls_pending == 0 ||
+      now - provisioner->leading_since > kr_seconds_to_us (KR_NEW_LEADER_WAIT_S);
+  return provisioner->warmed_up && provisioner->node->machine_types && provisioner->has_list &&
+         provisioner->records_relisted;
 }
 
-/* What nothing that could run would use. */
+/* Returns idle machines that no task could use, even if all unstarted tasks ran now. */
 static void
-return_idle (KrProvisioner *provisioner, GPtrArray *needs, GPtrArray *supplies)
+return_unneeded (KrProvisioner *provisioner, GPtrArray *demands, GPtrArray *supplies)
 {
-  kr_allocation_match (needs, supplies, TRUE);
+  kr_allocation_match (demands, supplies, TRUE);
   for (guint i = 0; i < supplies->len; i++) {
     const KrSupply *supply = supplies->pdata[i];
     if (supply->shard >= 0 && supply->unused > 0.999 && supply->idle_s > KR_IDLE_RETURN_S &&
         supply->target_shard < 0)
-      wish (provisioner, (guint) supply->shard, supply->id, -1);
+      add_directive (provisioner, (guint) supply->shard, supply->id, -1);
   }
 }
 
-/* The round's second half, once the parts have been heard. Not whole: only what is rented and given
- * out, from what they said last; machines that are wished to move or go would be wished so twice.
- */
+/* The second half of a round, after the summaries were received. With `full` unset, between two
+ * rounds, it only assigns and rents machines, based on the last summaries: directives to move or
+ * return machines would be sent twice. */
 static void
-act (KrProvisioner *provisioner, gboolean whole)
+reconcile (KrProvisioner *provisioner, gboolean full)
 {
   gint64 now = kr_now ();
-  guint size = provisioner->node->settings->shard_count;
-  g_autoptr (GPtrArray) needs = g_ptr_array_new_with_free_func (kr_demand_free);
+  guint shard_count = provisioner->node->settings->shard_count;
+  g_autoptr (GPtrArray) demands = g_ptr_array_new_with_free_func (kr_demand_free);
   g_autoptr (GPtrArray) supplies = g_ptr_array_new_with_free_func (kr_supply_free);
-  g_autofree double *have = g_new0 (double, size), *targets = g_new0 (double, size);
-  double all = 0;
-
-  provisioner->act_at = provisioner->rent_at = 0;
-  if (whole)
-    share_writes (provisioner);
-  if (!knows_enough (provisioner, now))
+  g_autofree double *current_cpus = g_new0 (double, shard_count),
+                    *targets = g_new0 (double, shard_count);
+  double total_cpus = 0;
+
+  provisioner->reconcile_at = provisioner->rent_due_at = 0;
+  if (full)
+    allot_write_rates (provisioner);
+  if (!is_ready (provisioner, now))
     return;
-  collect (provisioner, needs, supplies, now);
-  g_autoptr (GPtrArray) news = homeless (provisioner, now);
-  for (guint i = 0; i < news->len; i++) {
-    const KrListedMachine *listed = news->pdata[i];
+  collect (provisioner, demands, supplies, now);
+  g_autoptr (GPtrArray) unassigned = unassigned_machines (provisioner, now);
+  for (guint i = 0; i < unassigned->len; i++) {
+    const KrListedMachine *listed = unassigned->pdata[i];
     KrSupply *supply = g_new0 (KrSupply, 1);
     supply->id = g_strdup (listed->id);
     supply->shard = supply->target_shard = -1;
@@ -857,60 +901,61 @@
   }
   for (guint i = 0; i < supplies->len; i++) {
     const KrSupply *supply = supplies->pdata[i];
-    all += supply->unavailable || !supply->type ? 0 : supply->type->cpus;
-  }
-  kr_rebalance_count_cpus (supplies, size, have);
-  kr_allocation_shard_targets (needs, provisioner->node->machine_types, size, all, targets);
-
-  if (news->len) {
-    g_autofree double *lack = g_new0 (double, size);
-    for (guint p = 0; p < size; p++)
-      lack[p] = MAX (0, targets[p] - have[p]);
-    assign (provisioner, news, lack);
-  } else if (whole)
-    rebalance (provisioner, supplies, targets, now);
-  if (whole)
-    return_idle (provisioner, needs, supplies);
-  kr_allocation_match (needs, supplies, FALSE);
-  rent_unmet (provisioner, needs, now);
-  send_wishes (provisioner);
-}
-
-/* --- reading the cloud --------------------------------------------------------------- */
+    total_cpus += supply->unavailable || !supply->type ? 0 : supply->type->cpus;
+  }
+  kr_rebalance_count_cpus (supplies, shard_count, current_cpus);
+  kr_allocation_shard_targets (demands, provisioner->node->machine_types, shard_count, total_cpus,
+                               targets);
+
+  if (unassigned->len) {
+    g_autofree double *deficit = g_new0 (double, shard_count);
+    for (guint shard = 0; shard < shard_count; shard++)
+      deficit[shard] = MAX (0, targets[shard] - current_cpus[shard]);
+    assign_machines (provisioner, unassigned, deficit);
+  } else if (full)
+    rebalance_shards (provisioner, supplies, targets, now);
+  if (full)
+    return_unneeded (provisioner, demands, supplies);
+  kr_allocation_match (demands, supplies, FALSE);
+  rent_unmet (provisioner, demands, now);
+  send_directives (provisioner);
+}
+
+/* --- machine types and machine list -------------------------------------------------- */
 static void
-types_read (guint status, json_t *body, gpointer data)
+types_done (guint status, json_t *body, gpointer data)
 {
   KrProvisioner *provisioner = data;
   GPtrArray *types = status == 200 ? kr_wire_types_parse (body) : NULL;
-  provisioner->types_busy = FALSE;
+  provisioner->types_in_flight = FALSE;
   if (!types)
     return;
   provisioner->next_types = kr_now () + KR_TYPES_INTERVAL_MS * 1000;
   if (!provisioner->node->machine_types)
-    kr_info ("cloud: %u machine types", types->len);
+    kr_info ("cloud: received %u machine types", types->len);
   g_clear_pointer (&provisioner->node->machine_types, g_ptr_array_unref);
   provisioner->node->machine_types = types;
 }
 
 static void
-list_read (GPtrArray *machines, gpointer data)
+list_done (GPtrArray *machines, gpointer data)
 {
   KrProvisioner *provisioner = data;
-  provisioner->listing = FALSE;
+  provisioner->list_in_flight = FALSE;
   if (!machines)
     return;
-  provisioner->had_list = TRUE;
-  g_hash_table_foreach_remove (provisioner->left, long_gone, NULL);
+  provisioner->has_list = TRUE;
+  g_hash_table_foreach_remove (provisioner->removed, removal_expired, NULL);
   g_hash_table_remove_all (provisioner->listed);
   g_ptr_array_set_free_func (machines, NULL);
   for (guint i = 0; i < machines->len; i++) {
     KrListedMachine *listed = machines->pdata[i];
     g_hash_table_replace (provisioner->listed, listed->id, listed);
-    g_hash_table_remove (provisioner->fresh, listed->id);
+    g_hash_table_remove (provisioner->unlisted, listed->id);
   }
-  for (guint p = 0; p < provisioner->node->settings->shard_count; p++)
-    if (provisioner->node->shards[p])
-      kr_shard_machines_listed (provisioner->node->shards[p], provisioner->listed);
+  for (guint shard = 0; shard < provisioner->node->settings->shard_count; shard++)
+    if (provisioner->node->shards[shard])
+      kr_shard_machines_listed (provisioner->node->shards[shard], provisioner->listed);
 }
 
 static gboolean
@@ -918,45 +963,45 @@
 {
   KrProvisioner *provisioner = data;
   gint64 now = kr_now ();
-  /* Not where a peer reaches the state service and we do not: another one leads now or soon, and
-   * both would rent for the same work. */
+  /* A node that cannot reach the state service while a peer can does not act as the leader: another
+   * node leads now or will soon, and both would rent machines for the same demand. */
   gboolean leads = kr_membership_is_leader (provisioner->node->membership) &&
                    !provisioner->node->state_unreachable,
            owns = FALSE;
 
-  for (guint p = 0; p < provisioner->node->settings->shard_count; p++)
-    owns |= provisioner->node->shards[p] != NULL;
-  if (now >= provisioner->next_types && !provisioner->types_busy) {
-    provisioner->types_busy = TRUE;
+  for (guint shard = 0; shard < provisioner->node->settings->shard_count; shard++)
+    owns |= provisioner->node->shards[shard] != NULL;
+  if (now >= provisioner->next_types && !provisioner->types_in_flight) {
+    provisioner->types_in_flight = TRUE;
     provisioner->next_types = now + KR_TYPES_RETRY_MS * 1000;
-    kr_cloud_list_types (provisioner->node->cloud_client, provisioner->cancel, types_read,
+    kr_cloud_list_types (provisioner->node->cloud_client, provisioner->cancel, types_done,
                          provisioner);
   }
-  if (now >= provisioner->next_list && !provisioner->listing && (leads || owns)) {
-    provisioner->listing = TRUE;
+  if (now >= provisioner->next_list && !provisioner->list_in_flight && (leads || owns)) {
+    provisioner->list_in_flight = TRUE;
     provisioner->next_list =
         now + (leads ? KR_LIST_LEADER_INTERVAL_MS : KR_LIST_OWNER_INTERVAL_MS) * 1000;
-    kr_cloud_list_machines (provisioner->node->cloud_client, provisioner->cancel, list_read,
+    kr_cloud_list_machines (provisioner->node->cloud_client, provisioner->cancel, list_done,
                             provisioner);
   }
   if (!leads) {
-    provisioner->leading_since = provisioner->act_at = provisioner->rent_at = 0;
-    provisioner->heard = FALSE;
+    provisioner->leading_since = provisioner->reconcile_at = provisioner->rent_due_at = 0;
+    provisioner->warmed_up = FALSE;
     return G_SOURCE_CONTINUE;
   }
   if (!provisioner->leading_since) {
     provisioner->leading_since = now;
     provisioner->next_list = provisioner->next_round = 0;
-    read_records (provisioner);
+    relist_records (provisioner);
   }
-  if (provisioner->act_at ? now >= provisioner->act_at
-                          : provisioner->rent_at && now >= provisioner->rent_at)
-    act (provisioner, provisioner->act_at != 0);
-  if (now >= provisioner->next_round && !provisioner->act_at) {
-    /* While there is something to wait for, the first round begins again and again. */
+  if (provisioner->reconcile_at ? now >= provisioner->reconcile_at
+                                : provisioner->rent_due_at && now >= provisioner->rent_due_at)
+    reconcile (provisioner, provisioner->reconcile_at != 0);
+  if (now >= provisioner->next_round && !provisioner->reconcile_at) {
+    /* A new leader repeats its first round at short intervals until it knows enough. */
     provisioner->next_round =
-        now + (knows_enough (provisioner, now) ? KR_LEADER_ROUND_MS : KR_LEADER_CHECK_MS) * 1000;
-    exchange (provisioner, now);
+        now + (is_ready (provisioner, now) ? KR_LEADER_ROUND_MS : KR_LEADER_CHECK_MS) * 1000;
+    poll_summaries (provisioner, now);
   }
   return G_SOURCE_CONTINUE;
 }
@@ -969,14 +1014,14 @@
   provisioner->cancel = kr_cancellable_new_child (node->cancel);
   provisioner->listed =
       g_hash_table_new_full (g_str_hash, g_str_equal, NULL, kr_listed_machine_free);
-  provisioner->fresh =
+  provisioner->unlisted =
       g_hash_table_new_full (g_str_hash, g_str_equal, NULL, kr_listed_machine_free);
-  provisioner->left = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
+  provisioner->removed = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
   provisioner->pools = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, pool_free);
   provisioner->summaries = g_new0 (Summary, node->settings->shard_count);
-  provisioner->wishes = g_new0 (json_t *, node->settings->shard_count);
+  provisioner->directives = g_new0 (json_t *, node->settings->shard_count);
   provisioner->backlogs = g_new0 (double, node->settings->peers->len + 1);
-  provisioner->asked = kr_now ();
+  provisioner->last_polled_at = kr_now ();
   provisioner->timer = kr_timer_add (KR_LEADER_CHECK_MS, tick, provisioner);
   tick (provisioner);
   return provisioner;
