--- a/src/rebalance.h
+++ b/src/rebalance.h
@@ -1,34 +1,38 @@
-/* Which machines change parts, toward each part's share. Pure. */
+/* Rebalancing: decides which machines move from one shard to another, so that each shard approaches
+ * its target. The functions here have no side effects besides their output arguments. */
 #pragma once
 #include "allocation.h"
 
-/* What a round of moves goes by; the arrays hold an entry for each part. */
+/* The inputs of one round of rebalancing. The arrays have one entry per shard. */
 typedef struct {
   guint shards;
-  const double *targets;          /* CPUs that the part should have */
-  const char *const *owner_zones; /* zone of the part's owner; NULL: unknown */
-  const gboolean *has_pending;    /* tasks wait in the part */
-  gboolean may_drain_busy;        /* further machines in use may be told to run empty and leave */
+  const double *targets;          /* CPUs that the shard should have */
+  const char *const *owner_zones; /* zone of the shard's owner; NULL: unknown */
+  const gboolean *has_pending;    /* the shard has tasks that wait for capacity */
+  gboolean may_drain_busy;        /* further busy machines may be drained and moved */
 } KrRebalanceInput;
 
-/* `to`: the part that gets the machine; its own: it stays, and is not to leave any more. */
+/* `to` is the shard that the machine moves to. If it is the machine's own shard, an earlier
+ * decision to move the machine is revoked. */
 typedef void (*KrRebalanceFunc) (const KrSupply *machine, guint to, gpointer data);
 
 /**
  * kr_rebalance:
- * @in: what to go by
- * @supplies: (element-type KrSupply): all machines; `to` is where each is going as far as known,
- *   and afterwards where it shall go
- * @move: called for each machine for which that has changed
+ * @in: the inputs of the round
+ * @supplies: (element-type KrSupply): all machines; on entry, `target_shard` is the shard that each
+ *   is known to be moving to; it is updated to the new decision
+ * @move: called for each machine whose `target_shard` changed
  *
- * Chooses free machines first (not yet up, or idle), then of the busy ones those that are empty
- * soonest, a few at a time, since a machine that runs empty stands partly idle. Machines that are
- * up are shared for themselves: a part whose machines are all still to come would otherwise wait
- * beside idle ones. A busy machine is told to stay once its move is not needed any more: what was
- * rented meanwhile may serve. With the same targets, a further round changes nothing.
+ * Chooses free machines first (still booting or idle), then the busy machines that will be empty
+ * soonest. Only a few busy machines are drained at a time, since a draining machine is partly idle.
+ * Machines that are up are balanced separately from booting ones: otherwise a shard whose machines
+ * are all still booting would wait while other shards have idle machines. The move of a busy
+ * machine is revoked when it is no longer needed, e.g. because machines were rented in the
+ * meantime. With the same targets, a further round changes nothing.
  */
 void kr_rebalance (const KrRebalanceInput *in, GPtrArray *supplies, KrRebalanceFunc move,
                    gpointer data);
 
-/* CPUs that each part will have within a moment: busy machines count where they are. */
+/* Counts the CPUs that each shard has once pending moves of free machines are done; busy machines
+ * count for their current shard. `have` (out) has `shards` entries. */
 void kr_rebalance_count_cpus (const GPtrArray *supplies, guint shards, double *have);
