--- a/src/provisioner.h
+++ b/src/provisioner.h
@@ -20,7 +20,8 @@
 /* Processes a summary that a shard's owner stored in the state service because no leader had asked
  * for it. Only the leader uses it, and only if the owner has sent none directly for a while. */
 void kr_provisioner_note_summary (KrProvisioner *provisioner, guint shard, json_t *summary);
-/* Returns the time (monotonic us) at which a leader last asked this node for its summaries. */
+/* Returns the time (monotonic us) at which a leader last asked this node for its summaries, or at
+ * which the provisioner was created. */
 gint64 kr_provisioner_last_polled (KrProvisioner *provisioner);
 
 /* Paths of the requests that the leader sends to the other nodes. */
--- a/src/rebalance.c
+++ b/src/rebalance.c
@@ -67,9 +67,9 @@
   return most;
 }
 
-/* Whether the shard `to` has demand but no machine, so that it gets this one in any case. If the
- * shard of the machine has no other machine, the two shards take turns with it, but only once it is
- * up. */
+/* Whether the shard `to` has demand but no machine and may therefore get this one even with a small
+ * deficit. If the machine is the only one of its shard, the two shards take turns with it, but only
+ * once it is up. */
 static gboolean
 must_have_one (const Round *round, const KrSupply *machine, guint to)
 {
--- a/src/rebalance.h
+++ b/src/rebalance.h
@@ -1,5 +1,5 @@
 /* Rebalancing: decides which machines move from one shard to another, so that each shard approaches
- * its target. The functions here have no side effects besides their output arguments. */
+ * its target. No I/O and no global state. */
 #pragma once
 #include "allocation.h"
 
