--- a/src/allocation.c
+++ b/src/allocation.c
@@ -3,9 +3,9 @@
 void
 kr_demand_free (gpointer data)
 {
-  KrDemand *need = data;
-  kr_job_spec_free (need->requirements);
-  g_free (need);
+  KrDemand *demand = data;
+  kr_job_spec_free (demand->requirements);
+  g_free (demand);
 }
 
 void
@@ -17,57 +17,59 @@
 }
 
 static int
-cheap_first (gconstpointer a, gconstpointer b)
+compare_cheapest_first (gconstpointer a, gconstpointer b)
 {
-  const KrSupply *supply = *(KrSupply *const *) a, *y = *(KrSupply *const *) b;
-  if (supply->spot != y->spot)
-    return supply->spot ? -1 : 1;
-  /* Busy ones first, so that idle ones are left over. */
-  if ((supply->idle_s < 0) != (y->idle_s < 0))
-    return supply->idle_s < 0 ? -1 : 1;
-  return g_strcmp0 (supply->id, y->id);
+  const KrSupply *first = *(KrSupply *const *) a, *second = *(KrSupply *const *) b;
+  if (first->spot != second->spot)
+    return first->spot ? -1 : 1;
+  /* Busy machines serve demand first, so that the idle ones remain unused. */
+  if ((first->idle_s < 0) != (second->idle_s < 0))
+    return first->idle_s < 0 ? -1 : 1;
+  return g_strcmp0 (first->id, second->id);
 }
 
 static void
-serve (KrSupply *supply, KrDemand *need)
+serve (KrSupply *supply, KrDemand *demand)
 {
-  if (supply->unused <= 1e-9 || need->unmet_slots <= 1e-9 || supply->unavailable || !supply->type ||
-      !kr_placement_allowed (need->requirements, supply->type->name, supply->zone, supply->spot) ||
-      !kr_placement_fits_type (need->requirements, supply->type))
+  if (supply->unused <= 1e-9 || demand->unmet_slots <= 1e-9 || supply->unavailable ||
+      !supply->type ||
+      !kr_placement_allowed (demand->requirements, supply->type->name, supply->zone,
+                             supply->spot) ||
+      !kr_placement_fits_type (demand->requirements, supply->type))
     return;
-  double share = kr_placement_machine_share (need->requirements, supply->type);
-  double k = MIN (need->unmet_slots, supply->unused / share);
-  need->unmet_slots -= k;
-  supply->unused -= k * share;
+  double share = kr_placement_machine_share (demand->requirements, supply->type);
+  double slots = MIN (demand->unmet_slots, supply->unused / share);
+  demand->unmet_slots -= slots;
+  supply->unused -= slots * share;
 }
 
 void
-kr_allocation_match (GPtrArray *needs, GPtrArray *supplies, gboolean most)
+kr_allocation_match (GPtrArray *demands, GPtrArray *supplies, gboolean use_max)
 {
-  g_ptr_array_sort (supplies, cheap_first);
-  for (guint i = 0; i < needs->len; i++) {
-    KrDemand *need = needs->pdata[i];
-    need->unmet_slots = most ? need->max_slots : need->goal_slots;
+  g_ptr_array_sort (supplies, compare_cheapest_first);
+  for (guint i = 0; i < demands->len; i++) {
+    KrDemand *demand = demands->pdata[i];
+    demand->unmet_slots = use_max ? demand->max_slots : demand->goal_slots;
   }
   for (guint i = 0; i < supplies->len; i++)
     ((KrSupply *) supplies->pdata[i])->unused = 1;
-  for (guint own = 2; own-- > 0;)
+  for (guint own_only = 2; own_only-- > 0;) /* first pass: own demand only */
     for (guint i = 0; i < supplies->len; i++)
-      for (guint k = 0; k < needs->len; k++) {
+      for (guint k = 0; k < demands->len; k++) {
         KrSupply *supply = supplies->pdata[i];
-        KrDemand *need = needs->pdata[k];
-        if (!own || supply->shard == (gint) need->shard)
-          serve (supply, need);
+        KrDemand *demand = demands->pdata[k];
+        if (!own_only || supply->shard == (gint) demand->shard)
+          serve (supply, demand);
       }
 }
 
 double
-kr_demand_cpus (const KrDemand *need, double slots, const GPtrArray *types)
+kr_demand_cpus (const KrDemand *demand, double slots, const GPtrArray *types)
 {
   for (guint i = 0; i < types->len; i++) {
     const KrMachineType *type = types->pdata[i];
-    if (kr_placement_fits_type (need->requirements, type))
-      return slots * kr_placement_machine_share (need->requirements, type) * type->cpus;
+    if (kr_placement_fits_type (demand->requirements, type))
+      return slots * kr_placement_machine_share (demand->requirements, type) * type->cpus;
   }
   return 0;
 }
@@ -75,55 +77,56 @@
 void
 kr_allocation_max_min (const double *demand, guint shards, double supply, double *targets)
 {
-  guint open = shards;
-  for (guint p = 0; p < shards; p++)
-    targets[p] = -1;
-  for (gboolean again = TRUE; again && open;) {
-    double each = supply / open;
-    again = FALSE;
-    for (guint p = 0; p < shards; p++)
-      if (targets[p] < 0 && demand[p] <= each) {
-        targets[p] = demand[p];
-        supply -= demand[p];
-        open--;
-        again = TRUE;
+  guint unsatisfied = shards;
+  for (guint shard = 0; shard < shards; shard++)
+    targets[shard] = -1;
+  for (gboolean progress = TRUE; progress && unsatisfied;) {
+    double equal_share = supply / unsatisfied;
+    progress = FALSE;
+    for (guint shard = 0; shard < shards; shard++)
+      if (targets[shard] < 0 && demand[shard] <= equal_share) {
+        targets[shard] = demand[shard];
+        supply -= demand[shard];
+        unsatisfied--;
+        progress = TRUE;
       }
   }
-  for (guint p = 0; p < shards; p++)
-    if (targets[p] < 0)
-      targets[p] = supply / open;
+  for (guint shard = 0; shard < shards; shard++)
+    if (targets[shard] < 0)
+      targets[shard] = supply / unsatisfied;
 }
 
-typedef enum { FIRST_TASKS, URGENT, TOWARD_GOALS, ALL_ELSE, STAGES } Stage;
+/* The order in which demand is served; see kr_allocation_shard_targets(). */
+typedef enum { STAGE_STARVED, STAGE_URGENT, STAGE_GOALS, STAGE_REST, STAGE_COUNT } Stage;
 
 static double
-slots_in (const KrDemand *need, Stage stage)
+slots_in_stage (const KrDemand *demand, Stage stage)
 {
-  if (stage == FIRST_TASKS)
-    return need->starved_slots;
-  if (stage == ALL_ELSE)
-    return MAX (0, need->max_slots - need->goal_slots);
-  return need->urgent == (stage == URGENT) ? need->goal_slots - need->starved_slots : 0;
+  if (stage == STAGE_STARVED)
+    return demand->starved_slots;
+  if (stage == STAGE_REST)
+    return MAX (0, demand->max_slots - demand->goal_slots);
+  return demand->urgent == (stage == STAGE_URGENT) ? demand->goal_slots - demand->starved_slots : 0;
 }
 
 void
-kr_allocation_shard_targets (const GPtrArray *needs, const GPtrArray *types, guint shards,
+kr_allocation_shard_targets (const GPtrArray *demands, const GPtrArray *types, guint shards,
                              double supply, double *targets)
 {
-  g_autofree double *demand = g_new0 (double, shards), *share = g_new0 (double, shards);
-  for (guint p = 0; p < shards; p++)
-    targets[p] = 0;
-  for (Stage stage = FIRST_TASKS; stage < STAGES; stage++) {
-    for (guint p = 0; p < shards; p++)
-      demand[p] = 0;
-    for (guint i = 0; i < needs->len; i++) {
-      const KrDemand *need = needs->pdata[i];
-      demand[need->shard] += kr_demand_cpus (need, slots_in (need, stage), types);
+  g_autofree double *wanted_cpus = g_new0 (double, shards), *share = g_new0 (double, shards);
+  for (guint shard = 0; shard < shards; shard++)
+    targets[shard] = 0;
+  for (Stage stage = STAGE_STARVED; stage < STAGE_COUNT; stage++) {
+    for (guint shard = 0; shard < shards; shard++)
+      wanted_cpus[shard] = 0;
+    for (guint i = 0; i < demands->len; i++) {
+      const KrDemand *demand = demands->pdata[i];
+      wanted_cpus[demand->shard] += kr_demand_cpus (demand, slots_in_stage (demand, stage), types);
     }
-    kr_allocation_max_min (demand, shards, supply, share);
-    for (guint p = 0; p < shards; p++) {
-      targets[p] += share[p];
-      supply -= share[p];
+    kr_allocation_max_min (wanted_cpus, shards, supply, share);
+    for (guint shard = 0; shard < shards; shard++) {
+      targets[shard] += share[shard];
+      supply -= share[shard];
     }
   }
 }
--- a/src/allocation.h
+++ b/src/allocation.h
@@ -1,46 +1,57 @@
-/* How machines and needs meet, over all parts: what to rent, move and return. Pure. */
+/* Allocation of machines to the demand of all shards. The results show which machines to rent, move
+ * and return. No I/O and no global state. */
 #pragma once
 #include "placement.h"
 #include "settings.h"
 
-/* Slots of one shape that a part wants. */
+/* A shard's demand for slots with the same requirements. A slot is the capacity for one task. */
 typedef struct {
   guint shard;
-  KrJobSpec *requirements; /* types, zone, spot, cpus, gpus, mem_gb */
-  double starved_slots;    /* of `slots`: for jobs of which nothing has begun for long */
-  double goal_slots;       /* to meet its jobs' goals */
-  double max_slots;        /* if there is room for all of it */
-  double unmet_slots;      /* out */
+  KrJobSpec *requirements; /* only types, zone, spot_allowed, cpus, gpus and mem_gb are set */
+  double starved_slots; /* part of `goal_slots`: for jobs that have waited long for a first task */
+  double goal_slots;    /* slots needed to meet the goals of the jobs */
+  double max_slots;     /* slots that could be used if there were capacity for all tasks */
+  double unmet_slots;   /* out: slots that no machine can provide */
   gboolean urgent;
 } KrDemand;
+/* Frees a KrDemand; a GDestroyNotify. */
 void kr_demand_free (gpointer data);
 
+/* A machine as supply of slots. */
 typedef struct {
   char *id;
-  const KrMachineType *type;
-  const char *zone; /* borrowed */
-  gint shard;       /* -1: none yet */
-  gboolean spot, up, unavailable;
-  double idle_s;     /* -1: not idle */
-  double drain_s;    /* until it is empty, if nothing more starts */
-  gint target_shard; /* part that it goes to when empty; -1: none */
-  double unused;     /* out: share not needed, 1 = none of it */
+  const KrMachineType *type; /* NULL: unknown */
+  const char *zone;          /* borrowed */
+  gint shard;                /* -1: not assigned yet */
+  gboolean spot, up;
+  gboolean unavailable; /* failed, being returned, or overdue in booting: not counted as supply */
+  double idle_s;        /* -1: not idle */
+  double drain_s;       /* s until it is empty if no further task starts */
+  gint target_shard;    /* shard that it moves to once it is empty; -1: none */
+  double unused;        /* out: fraction of the machine that no demand needs, 0 to 1 */
 } KrSupply;
+/* Frees a KrSupply; a GDestroyNotify. */
 void kr_supply_free (gpointer data);
 
-/* CPUs of machines that so many slots of a need take, on the first of the types that fits. */
-double kr_demand_cpus (const KrDemand *need, double slots, const GPtrArray *types);
-/* How `supply` CPUs are shared among parts that want `demand`: small demands are met in full, the
- * others get equal parts of what is left (max-min); what nobody wants stays unshared. */
+/* Returns the CPUs of the machines that `slots` slots of the demand occupy, on the first of `types`
+ * that fits; 0 if none fits. A slot occupies the same share of the CPUs as of the machine. */
+double kr_demand_cpus (const KrDemand *demand, double slots, const GPtrArray *types);
+/* Divides `supply` CPUs among the shards by max-min fairness: small demands are met in full, and
+ * the other shards get equal shares of the rest. CPUs beyond the total demand stay undivided.
+ * `demand` and `targets` (out) hold the CPUs of each shard. */
 void kr_allocation_max_min (const double *demand, guint shards, double supply, double *targets);
 
-/* Each part's machines serve its own needs first, cheap ones first, then what is left serves
- * others'. `most`: all that could run, not only what the goals ask for. Fills unmet and left. */
-void kr_allocation_match (GPtrArray *needs, GPtrArray *supplies, gboolean most);
+/* Matches machines with demand. The machines of each shard serve its own demand first, the cheapest
+ * machines first; unused capacity then serves other shards. With `use_max`, the demand is
+ * `max_slots` instead of `goal_slots`. Sets `unmet_slots` and `unused`, and sorts `supplies`. */
+void kr_allocation_match (GPtrArray *demands, GPtrArray *supplies, gboolean use_max);
 
-/* CPUs that each part should have of `supply`: jobs of which nothing has begun for long come first,
- * since a stream of urgent ones may never end; then urgent work, since it may stop other work in
- * its part, but not in another; then the rest of what the goals ask for; then what else could run,
- * so that machines that are paid for serve it before they go back. */
-void kr_allocation_shard_targets (const GPtrArray *needs, const GPtrArray *types, guint shards,
+/* Computes in `targets` (out) how many of the `supply` CPUs each shard should have. The demand is
+ * served in this order:
+ * 1. starving jobs, since a stream of urgent jobs may never end;
+ * 2. urgent jobs, since they can preempt other tasks in their own shard, but not in another one;
+ * 3. the rest of the demand to meet goals;
+ * 4. everything else that could run, so that machines that are already paid for are used before
+ *    they are returned. */
+void kr_allocation_shard_targets (const GPtrArray *demands, const GPtrArray *types, guint shards,
                                   double supply, double *targets);
