--- a/src/ranking.c
+++ b/src/ranking.c
@@ -3,7 +3,7 @@
 #include <string.h>
 
 static KrRankingTier
-klass (const KrEstimateInput *input)
+ranking_tier (const KrEstimateInput *input)
 {
   if (input->is_service)
     return KR_TIER_SERVICE;
@@ -15,20 +15,20 @@
 KrRankingKey
 kr_ranking_key (const KrEstimateInput *input, const char *id)
 {
-  KrRankingKey k = { klass (input), 0, id };
-  switch (k.tier) {
+  KrRankingKey ranking_key = { ranking_tier (input), 0, id };
+  switch (ranking_key.tier) {
   case KR_TIER_LATE:
-    k.key = kr_estimate_lateness (input);
+    ranking_key.key = kr_estimate_lateness (input);
     break;
   case KR_TIER_SERVICE:
   case KR_TIER_NO_DATA:
-    k.key = -input->submitted;
+    ranking_key.key = -input->submitted;
     break;
   case KR_TIER_ON_TIME:
-    k.key = kr_estimate_slots_needed (input);
+    ranking_key.key = kr_estimate_slots_needed (input);
     break;
   }
-  return k;
+  return ranking_key;
 }
 
 int
@@ -44,10 +44,10 @@
 double
 kr_ranking_wanted_slots (const KrEstimateInput *input)
 {
-  if (klass (input) != KR_TIER_ON_TIME)
+  if (ranking_tier (input) != KR_TIER_ON_TIME)
     return input->unstarted;
-  /* Whole slots, and one where nothing runs: a fraction of a slot would leave a job without any
+  /* Rounded up, and at least one if no task runs: with a fraction of a slot, the job would get no
    * machine until shortly before its goal. */
-  double least = input->running || !input->unstarted ? 0 : 1;
-  return CLAMP (ceil (kr_estimate_slots_needed (input)), least, (double) input->unstarted);
+  double min_slots = input->running || !input->unstarted ? 0 : 1;
+  return CLAMP (ceil (kr_estimate_slots_needed (input)), min_slots, (double) input->unstarted);
 }
