--- a/src/estimate.c
+++ b/src/estimate.c
@@ -10,31 +10,32 @@
 double
 kr_estimate_running_work_s (const KrEstimateInput *input)
 {
-  double mean = kr_estimate_mean_task_s (input), rest = 0;
+  double mean = kr_estimate_mean_task_s (input), remaining = 0;
   for (guint i = 0; i < input->running; i++) {
-    double r = mean - (input->elapsed ? input->elapsed[i] : 0);
-    /* Floored: on a slow machine elapsed passes the mean, and a negative rest would make the job
-     * look ahead of its goal. */
-    rest += MAX (r, 0);
+    double task_rest = mean - (input->elapsed ? input->elapsed[i] : 0);
+    /* At least 0: on a slow machine, the elapsed time exceeds the mean, and a negative rest would
+     * make the job look ahead of its goal. */
+    remaining += MAX (task_rest, 0);
   }
-  return rest;
+  return remaining;
 }
 
 double
 kr_estimate_slots_needed (const KrEstimateInput *input)
 {
   double mean = MAX (kr_estimate_mean_task_s (input), 1e-3);
-  /* Floored: near the goal the quotient would swell beyond any use. */
-  double left = MAX (input->goal - input->now, KR_TIME_TO_GOAL_MIN_S);
-  return (kr_estimate_running_work_s (input) / mean + input->unstarted) * mean / left -
+  /* Has a lower limit, since the quotient would grow without bound near the goal. */
+  double time_left = MAX (input->goal - input->now, KR_TIME_TO_GOAL_MIN_S);
+  return (kr_estimate_running_work_s (input) / mean + input->unstarted) * mean / time_left -
          input->running;
 }
 
 double
 kr_estimate_lateness (const KrEstimateInput *input)
 {
-  double work =
+  double remaining_work =
       kr_estimate_running_work_s (input) + input->unstarted * kr_estimate_mean_task_s (input);
-  double end = input->now + work / MAX (input->running, 1u);
-  return (end - input->submitted) / MAX (input->goal - input->submitted, KR_TIME_TO_GOAL_MIN_S);
+  double expected_end = input->now + remaining_work / MAX (input->running, 1u);
+  return (expected_end - input->submitted) /
+         MAX (input->goal - input->submitted, KR_TIME_TO_GOAL_MIN_S);
 }
--- a/src/estimate.h
+++ b/src/estimate.h
@@ -1,25 +1,29 @@
-/* The paper's completion-time estimate ("Performance-Driven Task Co-Scheduling", III-B and III-C).
- * Pure functions of numbers. */
+/* The completion-time estimate of the paper "Performance-Driven Task Co-Scheduling", sections III-B
+ * and III-C. No I/O and no global state. */
 #pragma once
 #include <glib.h>
 
 typedef struct {
-  double timed_sum_s;    /* s, completed task time */
-  guint timed_count;     /* completed tasks */
-  guint unstarted;       /* U */
-  guint running;         /* R, in doubt and fetching included */
-  const double *elapsed; /* s, one a running task; may be NULL (all zero) */
+  double timed_sum_s;    /* s; sum of the run times of the completed tasks */
+  guint timed_count;     /* number of these tasks */
+  guint unstarted;       /* number of unstarted tasks: the paper's U */
+  guint running;         /* number of running tasks, unconfirmed and pulling included: R */
+  const double *elapsed; /* s that each running task has run; NULL: all zero */
   double now, goal;      /* s on one clock */
-  double submitted;      /* s on that clock */
-  gboolean is_service;   /* a service: held at size before ranking */
-  double prior_mean_s;   /* the owner's estimate, used only where no task has completed */
+  double submitted;      /* s on the same clock */
+  gboolean is_service;   /* a service, which is kept at its size and ranked before other jobs */
+  double prior_mean_s;   /* s; the user's estimate of a task's run time, until one has completed */
 } KrEstimateInput;
 
-/* Eq. 1; `guess_s` without data. */
+/* Returns the mean run time of a task: the paper's equation 1, or `prior_mean_s` if no task has
+ * completed. */
 double kr_estimate_mean_task_s (const KrEstimateInput *input);
-/* Sum over running tasks of mean minus elapsed, each floored at zero. */
+/* Returns the expected remaining run time of all running tasks together: for each, the mean minus
+ * the elapsed time, at least 0. */
 double kr_estimate_running_work_s (const KrEstimateInput *input);
-/* Eq. 3. */
+/* Returns the number of slots needed to meet the goal in addition to those in use: the paper's
+ * equation 3. Negative if the job has more than it needs. */
 double kr_estimate_slots_needed (const KrEstimateInput *input);
-/* Expected completion against the goal: (expected end - submitted) / (goal - submitted). */
+/* Returns the expected run time of the job relative to its goal:
+ * (expected end - submitted) / (goal - submitted). */
 double kr_estimate_lateness (const KrEstimateInput *input);
