--- a/src/budget.c
+++ b/src/budget.c
@@ -1,17 +1,18 @@
 #include "budget.h"
 #include "constants.h"
 
-/* What a node needs of its fixed part for now. */
+/* Returns the write rate that a node keeps of its base share. */
 static double
-needed (double base, double backlog)
+kept_rate (double base, double backlog)
 {
   return backlog < 0 ? base : CLAMP (backlog, base * KR_BUDGET_KEEP_SHARE, base);
 }
 
-/* What does not pass by itself within a few seconds: a burst of that length is nobody's to pay for
- * with slower answers to users. */
+/* Returns the part of a node's backlog that entitles it to a higher rate. A burst that passes by
+ * itself within KR_BUDGET_BACKLOG_S does not count: other nodes should not answer their users more
+ * slowly because of it. */
 static double
-beyond (double base, double backlog)
+excess_backlog (double base, double backlog)
 {
   return backlog > base * KR_BUDGET_BACKLOG_S ? backlog - base : 0;
 }
@@ -19,15 +20,16 @@
 gboolean
 kr_budget_allot (const double *base, const double *backlog, guint nodes, double *allotted)
 {
-  double lent = 0, wanted = 0;
+  double total_lent = 0, total_excess = 0;
   for (guint i = 0; i < nodes; i++) {
-    lent += base[i] - needed (base[i], backlog[i]);
-    wanted += beyond (base[i], backlog[i]);
+    total_lent += base[i] - kept_rate (base[i], backlog[i]);
+    total_excess += excess_backlog (base[i], backlog[i]);
   }
-  gboolean changes = lent > 0 && wanted > 0;
+  gboolean redistributes = total_lent > 0 && total_excess > 0;
   for (guint i = 0; i < nodes; i++)
-    allotted[i] = changes
-                      ? needed (base[i], backlog[i]) + lent * beyond (base[i], backlog[i]) / wanted
+    allotted[i] = redistributes
+                      ? kept_rate (base[i], backlog[i]) +
+                            total_lent * excess_backlog (base[i], backlog[i]) / total_excess
                       : base[i];
-  return changes;
+  return redistributes;
 }
