--- a/src/placement.c
+++ b/src/placement.c
@@ -1,23 +1,25 @@
 #include "placement.h"
 
-#define SLACK 1e-6 /* amounts are decimal numbers; sums of them are not exact */
+/* Tolerance for rounding errors: the amounts are decimal fractions, and their sums are inexact. */
+#define ROUNDING_TOLERANCE 1e-6
 
 gboolean
-kr_resources_fit (const KrResources *free, const KrJobSpec *spec)
+kr_resources_fit (const KrResources *available, const KrJobSpec *spec)
 {
-  return spec->cpus <= free->cpus + SLACK && spec->gpus <= free->gpus + SLACK &&
-         spec->mem_gb <= free->mem_gb + SLACK;
+  return spec->cpus <= available->cpus + ROUNDING_TOLERANCE &&
+         spec->gpus <= available->gpus + ROUNDING_TOLERANCE &&
+         spec->mem_gb <= available->mem_gb + ROUNDING_TOLERANCE;
 }
 
 gboolean
 kr_placement_fits_type (const KrJobSpec *spec, const KrMachineType *type)
 {
-  KrResources whole = { type->cpus, type->gpus, type->mem_gb };
+  KrResources capacity = { type->cpus, type->gpus, type->mem_gb };
   if (spec->types && !g_strv_contains ((const char *const *) spec->types, type->name))
     return FALSE;
   if (spec->zone && !g_strv_contains ((const char *const *) type->zones, spec->zone))
     return FALSE;
-  return kr_resources_fit (&whole, spec);
+  return kr_resources_fit (&capacity, spec);
 }
 
 gboolean
@@ -36,40 +38,41 @@
 }
 
 void
-kr_resources_subtract (KrResources *r, const KrJobSpec *spec)
+kr_resources_subtract (KrResources *resources, const KrJobSpec *spec)
 {
-  r->cpus -= spec->cpus;
-  r->gpus -= spec->gpus;
-  r->mem_gb -= spec->mem_gb;
+  resources->cpus -= spec->cpus;
+  resources->gpus -= spec->gpus;
+  resources->mem_gb -= spec->mem_gb;
 }
 
 void
-kr_resources_add (KrResources *r, const KrJobSpec *spec)
+kr_resources_add (KrResources *resources, const KrJobSpec *spec)
 {
-  r->cpus += spec->cpus;
-  r->gpus += spec->gpus;
-  r->mem_gb += spec->mem_gb;
+  resources->cpus += spec->cpus;
+  resources->gpus += spec->gpus;
+  resources->mem_gb += spec->mem_gb;
 }
 
 gboolean
 kr_placement_task_within_quota (const KrTeam *team, const KrResources *used, const KrJobSpec *spec)
 {
-  return (team->cpus_max <= 0 || used->cpus + spec->cpus <= team->cpus_max + SLACK) &&
-         (team->gpus_max <= 0 || used->gpus + spec->gpus <= team->gpus_max + SLACK);
+  return (team->cpus_max <= 0 || used->cpus + spec->cpus <= team->cpus_max + ROUNDING_TOLERANCE) &&
+         (team->gpus_max <= 0 || used->gpus + spec->gpus <= team->gpus_max + ROUNDING_TOLERANCE);
 }
 
 gboolean
 kr_placement_job_within_quota (const KrTeam *team, const KrJobSpec *spec)
 {
-  double n = spec->kind == KR_JOB_KIND_ARRAY ? 1 : spec->tasks;
-  return (team->cpus_max <= 0 || n * spec->cpus <= team->cpus_max + SLACK) &&
-         (team->gpus_max <= 0 || n * spec->gpus <= team->gpus_max + SLACK);
+  double tasks = spec->kind == KR_JOB_KIND_ARRAY ? 1 : spec->tasks;
+  return (team->cpus_max <= 0 || tasks * spec->cpus <= team->cpus_max + ROUNDING_TOLERANCE) &&
+         (team->gpus_max <= 0 || tasks * spec->gpus <= team->gpus_max + ROUNDING_TOLERANCE);
 }
 
 static gboolean
 within_guarantee (const KrTeam *team, const KrResources *used, double cpus, double gpus)
 {
-  return used->cpus + cpus <= team->cpus + SLACK && used->gpus + gpus <= team->gpus + SLACK;
+  return used->cpus + cpus <= team->cpus + ROUNDING_TOLERANCE &&
+         used->gpus + gpus <= team->gpus + ROUNDING_TOLERANCE;
 }
 
 gboolean
--- a/src/placement.h
+++ b/src/placement.h
@@ -1,4 +1,5 @@
-/* What may go where: room, types, zones, spot, team limits; whom preemption may stop. Pure. */
+/* Placement rules: which tasks may run on which machines (resources, machine types, zones, spot),
+ * team quotas, and which tasks may be preempted. No I/O and no global state. */
 #pragma once
 #include "wire.h"
 
@@ -6,28 +7,39 @@
   double cpus, gpus, mem_gb;
 } KrResources;
 
-/* Where a job's other tasks are now, fetching, saving and in doubt included. */
+/* The number of a job's tasks that are on machines, including those that pull their image, save a
+ * checkpoint, or are unconfirmed. */
 typedef struct {
-  guint total;   /* anywhere */
-  guint in_zone; /* in the zone looked at */
+  guint total;   /* in all zones */
+  guint in_zone; /* in the zone that a further task may start in */
 } KrZoneSpread;
 
+/* Whether a task of the job fits on an empty machine of the type, and the type is one that the job
+ * allows and is offered in the job's zone. */
 gboolean kr_placement_fits_type (const KrJobSpec *spec, const KrMachineType *type);
+/* Whether the job allows machines of this type and zone, spot or on-demand. */
 gboolean kr_placement_allowed (const KrJobSpec *spec, const char *type, const char *zone,
                                gboolean spot);
+/* Whether one more task may start in the zone: a job may require that all its tasks be in one zone,
+ * or that no zone have more than half of them, rounded up. */
 gboolean kr_placement_spread_ok (const KrJobSpec *spec, const KrZoneSpread *spread);
-gboolean kr_resources_fit (const KrResources *free, const KrJobSpec *spec);
-void kr_resources_subtract (KrResources *room, const KrJobSpec *spec);
-void kr_resources_add (KrResources *room, const KrJobSpec *spec);
-/* Whether the whole job (array: one task) stays within the team's limit. */
+/* Whether one task of the job fits into the available resources. */
+gboolean kr_resources_fit (const KrResources *available, const KrJobSpec *spec);
+/* Subtracts or adds the resources of one task. */
+void kr_resources_subtract (KrResources *resources, const KrJobSpec *spec);
+void kr_resources_add (KrResources *resources, const KrJobSpec *spec);
+/* Whether all tasks of the job together (of an array job, a single task) stay within the team's
+ * quota. */
 gboolean kr_placement_job_within_quota (const KrTeam *team, const KrJobSpec *spec);
-/* Whether a team that uses `used` may start one more such task. */
+/* Whether a team that uses `used` may start one more task of the job within its quota. */
 gboolean kr_placement_task_within_quota (const KrTeam *team, const KrResources *used,
                                          const KrJobSpec *spec);
-/* Whether `victim` of a team may be stopped for `spec`: lower Rank; or the victim's team is over
- * its guarantee while the asking team stays within its own. */
+/* Whether a task of the job `victim` may be preempted for a task of the job `spec`: the victim's
+ * priority is lower, or its team is over its guarantee while the team of `spec` stays within its
+ * own. */
 gboolean kr_placement_may_preempt (const KrJobSpec *spec, const KrTeam *team,
                                    const KrResources *team_used, const KrJobSpec *victim,
                                    const KrTeam *victim_team, const KrResources *victim_used);
-/* Share of a machine of the type that one task takes: the largest of its dimensions. */
+/* Returns the share of a machine of the type that one task takes: the largest of its shares of
+ * CPUs, GPUs and memory. Never 0, so that callers can divide by it. */
 double kr_placement_machine_share (const KrJobSpec *spec, const KrMachineType *type);
