--- a/src/job.c
+++ b/src/job.c
@@ -3,11 +3,11 @@
 #include <string.h>
 
 KrJob *
-kr_job_new (KrJobSpec *spec, double at, guint shard)
+kr_job_new (KrJobSpec *spec, double submitted_at, guint shard)
 {
   KrJob *job = g_new0 (KrJob, 1);
   job->spec = spec;
-  job->submitted_at = at;
+  job->submitted_at = submitted_at;
   job->shard = shard;
   job->done = g_malloc0 (kr_job_bitmap_bytes (job));
   job->persisted = g_malloc0 (kr_job_bitmap_bytes (job));
@@ -58,36 +58,37 @@
   return MAX (1, (job->spec->tasks + KR_DONE_CHUNK_BITS - 1) / KR_DONE_CHUNK_BITS);
 }
 
-/* Byte range of a chunk. KR_DONE_CHUNK_BITS is a multiple of 8. */
+/* Returns the offset of a chunk in the bitmap and its `length`, both in bytes. KR_DONE_CHUNK_BITS
+ * is a multiple of 8. */
 static gsize
 chunk_range (const KrJob *job, guint chunk, gsize *length)
 {
-  gsize from = (gsize) chunk * (KR_DONE_CHUNK_BITS / 8), all = kr_job_bitmap_bytes (job);
-  *length = from < all ? MIN ((gsize) KR_DONE_CHUNK_BITS / 8, all - from) : 0;
-  return from;
+  gsize offset = (gsize) chunk * (KR_DONE_CHUNK_BITS / 8), total = kr_job_bitmap_bytes (job);
+  *length = offset < total ? MIN ((gsize) KR_DONE_CHUNK_BITS / 8, total - offset) : 0;
+  return offset;
 }
 
 json_t *
 kr_job_chunk_encode (const KrJob *job, const guint8 *done, guint chunk)
 {
-  gsize n, from = chunk_range (job, chunk, &n);
-  g_autofree char *text = g_base64_encode (done + from, n);
-  return json_string (text);
+  gsize length, offset = chunk_range (job, chunk, &length);
+  g_autofree char *base64 = g_base64_encode (done + offset, length);
+  return json_string (base64);
 }
 
 void
-kr_job_chunk_merge (KrJob *job, guint chunk, json_t *text)
+kr_job_chunk_merge (KrJob *job, guint chunk, json_t *base64)
 {
-  gsize n, got = 0, from = chunk_range (job, chunk, &n);
-  if (!json_is_string (text) || !*json_string_value (text))
+  gsize length, decoded = 0, offset = chunk_range (job, chunk, &length);
+  if (!json_is_string (base64) || !*json_string_value (base64))
     return;
-  g_autofree guchar *bytes = g_base64_decode (json_string_value (text), &got);
-  for (gsize i = 0; i < MIN (n, got); i++)
-    for (guint b = 0; b < 8; b++) {
-      guint task = (guint) ((from + i) * 8 + b);
-      if ((bytes[i] >> b & 1) && task < job->spec->tasks) {
+  g_autofree guchar *bytes = g_base64_decode (json_string_value (base64), &decoded);
+  for (gsize i = 0; i < MIN (length, decoded); i++)
+    for (guint bit = 0; bit < 8; bit++) {
+      guint task = (guint) ((offset + i) * 8 + bit);
+      if ((bytes[i] >> bit & 1) && task < job->spec->tasks) {
         kr_job_set_done (job, task);
-        job->persisted[from + i] |= (guint8) (1u << b);
+        job->persisted[offset + i] |= (guint8) (1u << bit);
       }
     }
 }
@@ -95,13 +96,13 @@
 json_t *
 kr_job_encode (const KrJob *job, const guint8 *done, guint running)
 {
-  guint n = 0;
-  for (guint t = 0; t < job->spec->tasks; t++)
-    n += done[t / 8] >> (t % 8) & 1;
+  guint done_count = 0;
+  for (guint task = 0; task < job->spec->tasks; task++)
+    done_count += done[task / 8] >> (task % 8) & 1;
   return json_pack ("{so sf sI sb sf sI sI sI so}", "Spec", kr_wire_spec_build (job->spec), "At",
                     job->submitted_at, "Part", (json_int_t) job->shard, "Cancelled", job->cancelled,
                     "Sum", job->timed_sum_s, "Count", (json_int_t) job->timed_count, "N",
-                    (json_int_t) n, "R", (json_int_t) running, "Done",
+                    (json_int_t) done_count, "R", (json_int_t) running, "Done",
                     kr_job_chunk_encode (job, done, 0));
 }
 
@@ -156,10 +157,10 @@
 json_t *
 kr_job_cancel_value (json_t *value, guint64 owner)
 {
-  json_t *v = json_deep_copy (value);
-  json_object_set_new (v, "Cancelled", json_true ());
-  json_object_set_new (v, "CancelledUnder", json_integer ((json_int_t) owner));
-  return v;
+  json_t *cancelled = json_deep_copy (value);
+  json_object_set_new (cancelled, "Cancelled", json_true ());
+  json_object_set_new (cancelled, "CancelledUnder", json_integer ((json_int_t) owner));
+  return cancelled;
 }
 
 gboolean
@@ -172,46 +173,47 @@
 }
 
 gboolean
-kr_job_is_done (const KrJob *job, guint t)
+kr_job_is_done (const KrJob *job, guint task)
 {
-  return t < job->spec->tasks && (job->done[t / 8] >> (t % 8) & 1);
+  return task < job->spec->tasks && (job->done[task / 8] >> (task % 8) & 1);
 }
 
 gboolean
-kr_job_is_persisted (const KrJob *job, guint t)
+kr_job_is_persisted (const KrJob *job, guint task)
 {
-  return t < job->spec->tasks && (job->persisted[t / 8] >> (t % 8) & 1);
+  return task < job->spec->tasks && (job->persisted[task / 8] >> (task % 8) & 1);
 }
 
 void
-kr_job_set_done (KrJob *job, guint t)
+kr_job_set_done (KrJob *job, guint task)
 {
-  if (t < job->spec->tasks && !kr_job_is_done (job, t)) {
-    job->done[t / 8] |= (guint8) (1u << (t % 8));
+  if (task < job->spec->tasks && !kr_job_is_done (job, task)) {
+    job->done[task / 8] |= (guint8) (1u << (task % 8));
     job->n_done++;
   }
 }
 
 void
-kr_job_add_active (KrJob *job, guint t)
+kr_job_add_active (KrJob *job, guint task)
 {
-  if (t < job->spec->tasks && job->active[t] < G_MAXUINT8 && job->active[t]++ == 0)
+  if (task < job->spec->tasks && job->active[task] < G_MAXUINT8 && job->active[task]++ == 0)
     job->n_active++;
 }
 
 void
-kr_job_remove_active (KrJob *job, guint t)
+kr_job_remove_active (KrJob *job, guint task)
 {
-  if (t < job->spec->tasks && job->active[t] && --job->active[t] == 0) {
+  if (task < job->spec->tasks && job->active[task] && --job->active[task] == 0) {
     job->n_active--;
-    job->cursor = MIN (job->cursor, t);
+    job->cursor = MIN (job->cursor, task);
   }
 }
 
 guint
 kr_job_unstarted (const KrJob *job)
 {
-  /* A completed task may still be active elsewhere only after a takeover; count it once. */
+  /* A task can be both completed and active only after a takeover, with an attempt elsewhere. Such
+   * a task is subtracted twice, hence the check below. */
   guint taken = job->n_done + job->n_active;
   return taken < job->spec->tasks ? job->spec->tasks - taken : 0;
 }
--- a/src/job.h
+++ b/src/job.h
@@ -1,58 +1,69 @@
-/* What is durable: jobs with their sums, counts and done sets, in one key each below job/ while
- * they live and below end/ afterwards. Done sets too large for one value go on in done/ chunks. */
+/* Jobs and their stored form. A live job is stored under one key below job/, with its
+ * specification, the sum of its run times and a bitmap of its completed tasks; an ended job is
+ * stored below end/. A bitmap too large for one value continues in chunks below done/. */
 #pragma once
 #include "settings.h"
 #include "wire.h"
 
 typedef struct {
   KrJobSpec *spec;
-  double submitted_at; /* s since the epoch, by the accepting node's clock */
+  double submitted_at; /* s since the epoch, by the clock of the node that accepted the job */
   guint shard;
-  guint64 revision; /* version of the durable record */
+  guint64 revision; /* of the stored value */
   gboolean cancelled;
-  double timed_sum_s; /* s, of `count` completed tasks: the paper's mean is sum/count */
+  double timed_sum_s; /* s; run times of `timed_count` completed tasks, for the paper's mean */
   guint timed_count;
-  guint8 *done;      /* bit a task: completed */
-  guint8 *persisted; /* bit a task: completed and written */
-  guint8 *active;    /* launches that may be on a machine, per task */
-  guint n_done, n_active;
-  guint cursor;            /* no startable task below it */
-  guint chunks_missing;    /* chunks still to be read: not schedulable until 0 */
-  gboolean progress_dirty; /* progress not yet written */
-  gboolean writing;        /* a write is under way */
+  guint8 *done;            /* bitmap of the completed tasks */
+  guint8 *persisted;       /* bitmap of the completed tasks whose completion is stored */
+  guint8 *active;          /* for each task, the number of attempts that may be on a machine */
+  guint n_done, n_active;  /* number of completed tasks, and of tasks with such attempts */
+  guint cursor;            /* no task with a lower index can start */
+  guint chunks_missing;    /* chunks still to be read; no task starts until it is 0 */
+  gboolean progress_dirty; /* there is progress that is not stored */
+  gboolean writing;        /* a write of the job is in flight */
   gint64 flushed_at;       /* monotonic us of the last write of its progress */
   /* failures */
   GHashTable *failed_on;       /* machines on which a task failed since the last success */
   gint64 failed_at;            /* monotonic us of the newest failure */
-  double backoff_s;            /* pause after the next failure */
+  double backoff_s;            /* backoff after the next failure */
   gint64 backoff_until;        /* monotonic us */
-  double longest_failed_run_s; /* s that the longest failure of all had run */
-  gboolean probing;            /* one task is being tried after a pause */
+  double longest_failed_run_s; /* s; run time of the failed task that had run the longest */
+  gboolean probing;            /* a single task is being tried after a backoff */
 } KrJob;
 
-KrJob *kr_job_new (KrJobSpec *spec, double at, guint shard); /* takes `spec` */
+/* Takes ownership of `spec`. `submitted_at` is in s since the epoch. */
+KrJob *kr_job_new (KrJobSpec *spec, double submitted_at, guint shard);
 void kr_job_free (KrJob *job);
 G_DEFINE_AUTOPTR_CLEANUP_FUNC (KrJob, kr_job_free)
 
-/* The durable form, and back; `done_count`: what the record says of itself. */
+/* Returns the stored form of a live job, without the chunks below done/. `done` is the bitmap to
+ * store; `running` is the number of running tasks to show to users. */
 json_t *kr_job_encode (const KrJob *job, const guint8 *done, guint running);
+/* Restores a live job from its stored form. Returns NULL if `value` holds no valid job. */
 KrJob *kr_job_decode (json_t *value, guint64 revision);
+/* Returns the stored form of a job that ended in `state` with `done` completed tasks. */
 json_t *kr_job_final_value (KrJobState state, guint done);
-/* What a stored value (live or ended) says to a user. FALSE if it is not a job's. */
+/* Reads the status shown to users from the stored form of a live or ended job. Returns FALSE if
+ * `value` is not a job. */
 gboolean kr_job_parse_status (json_t *value, KrJobState *state, guint *done, guint *running);
-/* A live job's value with its user's cancellation. `owner`: the revision that the transaction
- * expects of the part's owner key (0: nobody has it). */
+/* Returns a copy of a live job's stored form, marked as cancelled by the user. `owner` is the
+ * revision of the shard's owner key that the transaction expects; 0: the shard has no owner. */
 json_t *kr_job_cancel_value (json_t *value, guint64 owner);
-/* FALSE: not a live job's that is cancelled. */
+/* Reads the shard and the `owner` of the cancellation from the stored form of a job. Returns FALSE
+ * unless it is a live job that is cancelled. */
 gboolean kr_job_parse_cancellation (json_t *value, guint *shard, guint64 *owner);
-guint kr_job_parse_shard (json_t *value); /* of a live job's */
+/* Returns the shard from the stored form of a live job. */
+guint kr_job_parse_shard (json_t *value);
 
+/* The keys of a live job, of an ended job, and of a chunk of the bitmap. The caller frees them with
+ * g_free(). */
 char *kr_job_key (const char *id);
 char *kr_job_final_key (const char *id);
 char *kr_job_chunk_key (const char *id, guint chunk);
-guint kr_job_chunk_count (const KrJob *job); /* 1: all in the job's own key */
+/* Returns the number of chunks of the bitmap. Chunk 0 is stored under the job's own key. */
+guint kr_job_chunk_count (const KrJob *job);
 json_t *kr_job_chunk_encode (const KrJob *job, const guint8 *done, guint chunk);
-/* Adds the bits of a stored chunk to both sets. */
+/* Adds the bits of a stored chunk to the bitmaps `done` and `persisted`. */
 void kr_job_chunk_merge (KrJob *job, guint chunk, json_t *text);
 
 gboolean kr_job_is_done (const KrJob *job, guint task);
@@ -60,13 +71,16 @@
 void kr_job_set_done (KrJob *job, guint task);
 void kr_job_add_active (KrJob *job, guint task);
 void kr_job_remove_active (KrJob *job, guint task);
-/* Tasks neither completed nor possibly on a machine. */
+/* Returns the number of tasks that are neither completed nor possibly on a machine. */
 guint kr_job_unstarted (const KrJob *job);
-/* The lowest such task, or -1. */
+/* Returns the index of the first such task, or -1. */
 gint64 kr_job_next_task (KrJob *job);
 gboolean kr_job_is_complete (const KrJob *job);
-/* It has failed on several machines since its last success: it is at fault itself, or they are. */
+/* Whether tasks of the job have failed on several machines since the last success, so that either
+ * the job or the machines are at fault. */
 gboolean kr_job_is_suspect (const KrJob *job);
-/* A task of it did well: it seems not at fault. */
+/* Forgets the failures and ends the backoff, after a task succeeded: the job is probably not at
+ * fault. */
 void kr_job_clear_failures (KrJob *job);
-gsize kr_job_bitmap_bytes (const KrJob *job); /* of a done set */
+/* Returns the size of a bitmap with one bit per task. */
+gsize kr_job_bitmap_bytes (const KrJob *job);
