--- a/src/provisioner.c
+++ b/src/provisioner.c
@@ -38,7 +38,8 @@
   Summary *summaries;    /* the last summary of each shard */
   json_t **directives;   /* for each shard, the directives for its owner; NULL: none */
   guint request_counter; /* rental requests of this process; part of their names */
-  gboolean list_in_flight, types_in_flight, assign_in_flight, has_list;
+  gboolean list_in_flight, types_in_flight, assign_in_flight; /* requests without an answer */
+  gboolean has_list;                                          /* a machine list has been read */
   /* The machine records were relisted since this node became the leader, and since its last record
    * update with an unknown outcome. */
   gboolean records_relisted;
@@ -47,7 +48,7 @@
   KrChunkVersion unconfirmed_chunk;
   gboolean has_unconfirmed_update;
   gint64 next_types, next_list, next_busy_rebalance, next_round; /* monotonic us */
-  gint64 leading_since; /* monotonic us; 0: this node is not the leader */
+  gint64 leading_since; /* monotonic us; 0: this node does not act as the leader */
   gint64 rent_due_at;   /* monotonic us at which renting continues between rounds; 0: not due */
   /* Monotonic us at which the round continues even if summaries are missing; 0: no round waits. */
   gint64 reconcile_at;
@@ -230,26 +231,27 @@
 gboolean
 kr_provisioner_apply_directives (KrProvisioner *provisioner, json_t *directives, guint64 leader)
 {
-  json_t *directive, *id;
+  json_t *directive, *id_json;
   size_t i, k;
 
   if (is_superseded (provisioner, leader))
     return FALSE;
   json_array_foreach (directives, i, directive)
   {
-    guint index = (guint) json_integer_value (json_object_get (directive, "Part"));
-    KrShard *shard =
-        index < provisioner->node->settings->shard_count ? provisioner->node->shards[index] : NULL;
+    guint shard_index = (guint) json_integer_value (json_object_get (directive, "Part"));
+    KrShard *shard = shard_index < provisioner->node->settings->shard_count
+                         ? provisioner->node->shards[shard_index]
+                         : NULL;
     json_t *to = json_object_get (directive, "To");
     if (!shard)
       continue;
-    json_array_foreach (json_object_get (directive, "Ids"), k, id)
+    json_array_foreach (json_object_get (directive, "Ids"), k, id_json)
     {
-      const char *name = json_string_value (id);
-      if (name && json_is_integer (to))
-        kr_shard_mark_for_move (shard, name, (guint) json_integer_value (to));
-      else if (name)
-        kr_shard_return_machine (shard, name);
+      const char *machine_id = json_string_value (id_json);
+      if (machine_id && json_is_integer (to))
+        kr_shard_mark_for_move (shard, machine_id, (guint) json_integer_value (to));
+      else if (machine_id)
+        kr_shard_return_machine (shard, machine_id);
     }
     kr_shard_move_marked (shard);
   }
@@ -305,10 +307,10 @@
     kr_http_client_call (provisioner->node->peer_client, "GET", peer->addr, KR_PEER_SUMMARIES, NULL,
                          KR_PEER_TIMEOUT_MS, provisioner->cancel, summaries_received, poll);
   }
-  SummaryPoll *own = g_new (SummaryPoll, 1);
-  *own = (SummaryPoll){ provisioner, settings->node_name, 0, provisioner->reconcile_at };
+  SummaryPoll *own_poll = g_new (SummaryPoll, 1);
+  *own_poll = (SummaryPoll){ provisioner, settings->node_name, 0, provisioner->reconcile_at };
   json_t *summaries = kr_provisioner_build_summaries (provisioner);
-  summaries_received (200, summaries, own);
+  summaries_received (200, summaries, own_poll);
   json_decref (summaries);
 }
 
