--- a/src/job.h
+++ b/src/job.h
@@ -63,8 +63,9 @@
 /* Returns the number of chunks of the bitmap. Chunk 0 is stored under the job's own key. */
 guint kr_job_chunk_count (const KrJob *job);
 json_t *kr_job_chunk_encode (const KrJob *job, const guint8 *done, guint chunk);
-/* Adds the bits of a stored chunk to the bitmaps `done` and `persisted`. */
-void kr_job_chunk_merge (KrJob *job, guint chunk, json_t *text);
+/* Adds the bits of a stored chunk to the bitmaps `done` and `persisted`. Ignores anything but text.
+ */
+void kr_job_chunk_merge (KrJob *job, guint chunk, json_t *base64);
 
 gboolean kr_job_is_done (const KrJob *job, guint task);
 gboolean kr_job_is_persisted (const KrJob *job, guint task);
--- a/src/provisioner.c
+++ b/src/provisioner.c
@@ -151,8 +151,8 @@
 
 /* --- summaries and directives -------------------------------------------------------- */
 /* Stores a summary sent by `node` if that node owns the shard. Summaries of former owners are
- * ignored: a node that cannot reach only the state service keeps sending summaries of shards that
- * others have taken over, in which their machines fall silent one after the other. */
+ * ignored: a node that has lost contact with the state service only keeps sending summaries of
+ * shards that others have taken over, in which their machines fall silent one after the other. */
 static void
 store_summary (KrProvisioner *provisioner, json_t *summary, const char *node)
 {
