--- a/src/allocation.c
+++ b/src/allocation.c
@@ -75,15 +75,15 @@
 }
 
 void
-kr_allocation_max_min (const double *demand, guint shards, double supply, double *targets)
+kr_allocation_max_min (const double *demand, guint shard_count, double supply, double *targets)
 {
-  guint unsatisfied = shards;
-  for (guint shard = 0; shard < shards; shard++)
+  guint unsatisfied = shard_count;
+  for (guint shard = 0; shard < shard_count; shard++)
     targets[shard] = -1;
   for (gboolean progress = TRUE; progress && unsatisfied;) {
     double equal_share = supply / unsatisfied;
     progress = FALSE;
-    for (guint shard = 0; shard < shards; shard++)
+    for (guint shard = 0; shard < shard_count; shard++)
       if (targets[shard] < 0 && demand[shard] <= equal_share) {
         targets[shard] = demand[shard];
         supply -= demand[shard];
@@ -91,7 +91,7 @@
         progress = TRUE;
       }
   }
-  for (guint shard = 0; shard < shards; shard++)
+  for (guint shard = 0; shard < shard_count; shard++)
     if (targets[shard] < 0)
       targets[shard] = supply / unsatisfied;
 }
@@ -110,21 +110,22 @@
 }
 
 void
-kr_allocation_shard_targets (const GPtrArray *demands, const GPtrArray *types, guint shards,
+kr_allocation_shard_targets (const GPtrArray *demands, const GPtrArray *types, guint shard_count,
                              double supply, double *targets)
 {
-  g_autofree double *wanted_cpus = g_new0 (double, shards), *share = g_new0 (double, shards);
-  for (guint shard = 0; shard < shards; shard++)
+  g_autofree double *wanted_cpus = g_new0 (double, shard_count),
+                    *share = g_new0 (double, shard_count);
+  for (guint shard = 0; shard < shard_count; shard++)
     targets[shard] = 0;
   for (Stage stage = STAGE_STARVED; stage < STAGE_COUNT; stage++) {
-    for (guint shard = 0; shard < shards; shard++)
+    for (guint shard = 0; shard < shard_count; shard++)
       wanted_cpus[shard] = 0;
     for (guint i = 0; i < demands->len; i++) {
       const KrDemand *demand = demands->pdata[i];
       wanted_cpus[demand->shard] += kr_demand_cpus (demand, slots_in_stage (demand, stage), types);
     }
-    kr_allocation_max_min (wanted_cpus, shards, supply, share);
-    for (guint shard = 0; shard < shards; shard++) {
+    kr_allocation_max_min (wanted_cpus, shard_count, supply, share);
+    for (guint shard = 0; shard < shard_count; shard++) {
       targets[shard] += share[shard];
       supply -= share[shard];
     }
--- a/src/allocation.h
+++ b/src/allocation.h
@@ -39,7 +39,8 @@
 /* Divides `supply` CPUs among the shards by max-min fairness: small demands are met in full, and
  * the other shards get equal shares of the rest. CPUs beyond the total demand stay undivided.
  * `demand` and `targets` (out) hold the CPUs of each shard. */
-void kr_allocation_max_min (const double *demand, guint shards, double supply, double *targets);
+void kr_allocation_max_min (const double *demand, guint shard_count, double supply,
+                            double *targets);
 
 /* Matches machines with demand. The machines of each shard serve its own demand first, the cheapest
  * machines first; unused capacity then serves other shards. With `use_max`, the demand is
@@ -53,5 +54,5 @@
  * 3. the rest of the demand to meet goals;
  * 4. everything else that could run, so that machines that are already paid for are used before
  *    they are returned. */
-void kr_allocation_shard_targets (const GPtrArray *demands, const GPtrArray *types, guint shards,
-                                  double supply, double *targets);
+void kr_allocation_shard_targets (const GPtrArray *demands, const GPtrArray *types,
+                                  guint shard_count, double supply, double *targets);
--- a/src/provisioner.c
+++ b/src/provisioner.c
@@ -52,7 +52,7 @@
   gint64 rent_due_at;   /* monotonic us at which renting continues between rounds; 0: not due */
   /* Monotonic us at which the round continues even if summaries are missing; 0: no round waits. */
   gint64 reconcile_at;
-  guint polls_pending; /* summary requests of this round without an answer */
+  guint polls_pending; /* summary requests of this round without a successful response */
   double *backlogs;    /* queued writes of each node, this node first; negative: unknown */
   /* Since this node became the leader, one round received all summaries or the wait timed out. */
   gboolean warmed_up;
@@ -675,7 +675,7 @@
 offer_serves (const Offer *offer, const Pool *pool, const KrDemand *demand, gboolean spot_open)
 {
   /* Demand that allows spot machines gets on-demand machines only while all spot pools are in
-   * backoff. */
+   * backoff and have no request in flight. */
   if (demand->unmet_slots <= 1e-9 ||
       (!offer->spot && demand->requirements->spot_allowed && spot_open))
     return FALSE;
--- a/src/rebalance.c
+++ b/src/rebalance.c
@@ -29,9 +29,9 @@
 }
 
 void
-kr_rebalance_count_cpus (const GPtrArray *supplies, guint shards, double *have)
+kr_rebalance_count_cpus (const GPtrArray *supplies, guint shard_count, double *have)
 {
-  memset (have, 0, shards * sizeof *have);
+  memset (have, 0, shard_count * sizeof *have);
   for (guint i = 0; i < supplies->len; i++) {
     const KrSupply *machine = supplies->pdata[i];
     if (is_counted (machine))
--- a/src/rebalance.h
+++ b/src/rebalance.h
@@ -34,5 +34,5 @@
                    gpointer data);
 
 /* Counts the CPUs that each shard has once pending moves of free machines are done; busy machines
- * count for their current shard. `have` (out) has `shards` entries. */
-void kr_rebalance_count_cpus (const GPtrArray *supplies, guint shards, double *have);
+ * count for their current shard. `have` (out) has `shard_count` entries. */
+void kr_rebalance_count_cpus (const GPtrArray *supplies, guint shard_count, double *have);
