--- a/src/membership.h
+++ b/src/membership.h
@@ -1,73 +1,87 @@
-/* Who is there, who owns which part, who leads: keys below c/ on this node's lease. Ownership is
- * only what the state service shows; a key's revision is the token. */
+/* Cluster membership and leadership: which nodes are present, which node owns which shard, and
+ * which node is the leader. All of it is stored in keys below c/ of the state service; the keys
+ * that a node writes for itself are bound to its lease. Only the state service decides who owns a
+ * shard. A key's revision is its holder's fencing token. */
 #pragma once
 #include "owner-history.h"
 #include "machine-records.h"
 #include "settings.h"
 #include "state-client.h"
 
+/* Holder of a shard's owner key or of the leader's key, as last read from the state service. */
 typedef struct {
-  char *node; /* NULL: nobody */
+  char *node; /* NULL: the key has no holder */
   char *incarnation;
-  guint64 revision;          /* the token */
-  guint64 replaced_revision; /* revision of the key it replaced: an own earlier one, or 0 */
-  gint64 free_since;         /* monotonic us, while nobody has it */
-  gint64 ours_since;         /* monotonic us, while it is ours */
-  gint64 backoff_until;      /* monotonic us until which we do not take it */
-  gboolean txn_in_flight;    /* a change of ours is under way */
+  guint64 revision; /* revision of the key: the fencing token */
+  /* Revision of the same node's key that this key replaced; 0: it replaced none. */
+  guint64 replaced_revision;
+  gint64 free_since;      /* monotonic us; valid while the key has no holder */
+  gint64 owned_since;     /* monotonic us; valid while this node holds the key */
+  gint64 backoff_until;   /* monotonic us; this node does not acquire the key before */
+  gboolean txn_in_flight; /* this node has sent a change of the key that is not answered yet */
 } KrHolder;
 
 typedef struct KrMembership KrMembership;
 typedef struct {
   void (*holder_changed) (guint shard, gpointer data);
-  void (*summary_stored) (guint shard, json_t *value,
-                          gpointer data); /* told through the state service */
-  void (*relisted) (gpointer data); /* all of c/ was read anew, beginning after the last rescan */
+  /* A shard's owner has stored its summary in the state service. */
+  void (*summary_stored) (guint shard, json_t *value, gpointer data);
+  /* All of c/ was listed; the list was started after the last call of kr_membership_relist(). */
+  void (*relisted) (gpointer data);
 } KrMembershipEvents;
 
+/* Starts to watch c/ and to request a lease. */
 KrMembership *kr_membership_new (const KrSettings *settings, KrStateClient *state,
                                  KrMachineRecords *records, GCancellable *cancel,
                                  const KrMembershipEvents *events, gpointer data);
+/* Stops all timers, calls and the watch; the memory is not freed. */
 void kr_membership_free (KrMembership *membership);
 
-gboolean
-kr_membership_is_synced (KrMembership *membership); /* the state service was read at least once */
+/* TRUE once c/ was listed, since the start or since the last process stall. */
+gboolean kr_membership_is_synced (KrMembership *membership);
 const KrHolder *kr_membership_holder (KrMembership *membership, guint shard);
+/* TRUE if this incarnation of this node owns the shard. */
 gboolean kr_membership_owns (KrMembership *membership, guint shard);
 gboolean kr_membership_is_leader (KrMembership *membership);
 const KrHolder *kr_membership_leader (KrMembership *membership);
 const KrOwnerHistory *kr_membership_owner_history (KrMembership *membership, guint shard);
-/* Feeds what a commit of ours made of it. */
+/* Applies a stored owner history, e.g. one that this node has just committed. */
 void kr_membership_apply_owner_history (KrMembership *membership, guint shard, json_t *value,
                                         guint64 revision);
-/* Reads all of c/ anew; events.scanned follows. */
+/* Lists all of c/ again; events.relisted is called when that is done. */
 void kr_membership_relist (KrMembership *membership);
 
-/* Until when (monotonic us) our keys surely stood: when the newest renewal of our lease that was
- * answered went out. */
+/* Returns the latest time (monotonic us) at which this node's keys are known to have been valid:
+ * the time at which the newest answered renewal of its lease was sent. */
 gint64 kr_membership_lease_confirmed_at (KrMembership *membership);
 
-/* Another node holds the part's key under `token`, as it has seen in the state service. Takes that
- * in, where we have not heard of it yet, and lets go of the part. TRUE: no process of this node
- * will ever answer a machine of the part under a lower token any more: each takes a part only under
- * a key that it sees as its own, and that of `token` is newer. */
+/* Tells this node that `node` holds the shard's owner key under `token`, as that node has read in
+ * the state service. If this is newer than what this node knows, it is applied and the shard is
+ * closed here. Returns TRUE if no process of this node will ever again answer a machine of the
+ * shard under a lower token: a process acquires a shard only under a key that it has read as its
+ * own, and the key with `token` is newer. */
 gboolean kr_membership_observe_owner (KrMembership *membership, guint shard, const char *node,
                                       guint64 token);
 
-/* Replaces our own key by a newer one, for a newer token. */
+/* Replaces this node's owner key by a new one, so that the shard gets a higher token. */
 void kr_membership_renew_token (KrMembership *membership, guint shard);
-/* Gives a part up and keeps off it for a while. */
-void kr_membership_release (KrMembership *membership, guint shard, guint keep_off_ms);
+/* Releases a shard; this node does not acquire it again for `hold_off_ms`. */
+void kr_membership_release (KrMembership *membership, guint shard, guint hold_off_ms);
 
-/* The lease on which our keys are; 0: none. */
+/* The lease to which this node's keys are bound; 0: none. */
 guint64 kr_membership_lease (KrMembership *membership);
-/* Writes our presence anew, every KR_NODE_RENEW_MS at most: who probes us sees that we live. */
+/* Writes this node's presence again, at most every KR_NODE_RENEW_MS. A peer that probes this node
+ * sees from the new revision that the node is alive. */
 void kr_membership_refresh_presence (KrMembership *membership);
 gboolean kr_membership_is_present (KrMembership *membership, const char *node);
-/* The lease that a node's presence names; 0: none (an older node), or something else. */
+/* Returns the lease that a node's presence names; 0 if it names none (an older version wrote it) or
+ * the value is malformed. */
 guint64 kr_membership_presence_lease (json_t *presence);
+
+/* Keys in the state service. The caller frees them with g_free(). */
 char *kr_membership_presence_key (const char *node);
-/* Written by a peer that gets no answer from a node; the node answers by a newer presence. */
+/* Key that the peer `by` writes when `node` does not answer it; `node` answers the probe by writing
+ * its presence again. */
 char *kr_membership_probe_key (const char *node, const char *by);
 char *kr_membership_owner_key (guint shard);
 char *kr_membership_owner_history_key (guint shard);
