--- a/src/failure-detector.h
+++ b/src/failure-detector.h
@@ -1,21 +1,26 @@
-/* Failure detector for nodes that the state service alone cannot tell: outages closer together than
- * a node's lease give that its full time again and again, also where the node is gone. A peer that
- * answers nobody here is probed through the state service, and its lease is ended if it does not
- * answer there either. Nothing rests on the verdict being right: a node whose lease is ended is in
- * the state in which it would be had the lease run out. */
+/* Failure detector for nodes whose failure the state service alone does not show: if its outages
+ * follow each other faster than a node's lease expires, the lease may be granted its full time
+ * again and again, although the node is gone. A peer that does not answer this node's pings is
+ * probed through the state service; if it does not answer there either, its lease is revoked. A
+ * wrong verdict does no harm: a node whose lease was revoked is in the same state as if the lease
+ * had expired. */
 #pragma once
 #include "membership.h"
 
-#define KR_PEER_HEALTH                                                                             \
-  "/health" /* on the peers' address: for how long it has not heard the state service */
+/* Path on the address for peers: tells for how long a node has had no answer from the state
+ * service.
+ */
+#define KR_PEER_HEALTH "/health"
 
 typedef struct KrDetector KrDetector;
-/* A peer has told for how long it has not heard the state service, in seconds. */
+/* Called when a peer answers a ping. silence_s: for how long that peer has had no answer from the
+ * state service, in seconds. */
 typedef void (*KrPeerSilenceFunc) (double silence_s, gpointer data);
 
 KrDetector *kr_detector_new (const KrSettings *settings, KrStateClient *state, KrHttpClient *peers,
                              KrMembership *membership, GCancellable *cancel,
-                             KrPeerSilenceFunc heard, gpointer data);
-/* Each KR_TICK_MS: asks the peers while the state service fails. */
+                             KrPeerSilenceFunc on_peer_silence, gpointer data);
+/* To be called every KR_TICK_MS: pings the peers while the state service is failing. */
 void kr_detector_tick (KrDetector *detector);
+/* Stops all timers and calls; the memory is not freed. */
 void kr_detector_free (KrDetector *detector);
