--- a/src/failure-detector.h
+++ b/src/failure-detector.h
@@ -1,9 +1,9 @@
-/* Failure detector for nodes whose failure the state service alone does not show: if its outages
- * follow each other faster than a node's lease expires, the lease may be granted its full time
- * again and again, although the node is gone. A peer that does not answer this node's pings is
- * probed through the state service; if it does not answer there either, its lease is revoked. A
- * wrong verdict does no harm: a node whose lease was revoked is in the same state as if the lease
- * had expired. */
+/* Failure detector for nodes whose failure the state service alone does not show. After an outage
+ * of the state service every lease runs for its full time again; if outages follow each other
+ * faster than that, the lease of a node that is gone does not expire. A peer that does not answer
+ * this node's pings is therefore probed through the state service, and its lease is revoked if it
+ * does not answer there either. A wrong verdict does no harm: a node whose lease was revoked is in
+ * the same state as if the lease had expired. */
 #pragma once
 #include "membership.h"
 
@@ -13,8 +13,8 @@
 #define KR_PEER_HEALTH "/health"
 
 typedef struct KrDetector KrDetector;
-/* Called when a peer answers a ping. silence_s: for how long that peer has had no answer from the
- * state service, in seconds. */
+/* Called when a peer answers a ping. silence_s: seconds since the state service last
+ * answered that peer. */
 typedef void (*KrPeerSilenceFunc) (double silence_s, gpointer data);
 
 KrDetector *kr_detector_new (const KrSettings *settings, KrStateClient *state, KrHttpClient *peers,
--- a/src/rate-limiter.c
+++ b/src/rate-limiter.c
@@ -18,171 +18,172 @@
   return child;
 }
 
-/* --- bucket -------------------------------------------------------------------------- */
+/* --- rate limiter -------------------------------------------------------------------- */
 typedef struct {
   double cost;
-  KrRateLimiterFunc go;
+  KrRateLimiterFunc func;
   gpointer data;
-} Waiter;
+} QueuedCall;
 
 struct KrRateLimiter {
   double rate, burst_s, burst, tokens;
-  gint64 at;
-  GQueue queue, last; /* last: goes when none of the others waits */
+  gint64 refilled_at;      /* monotonic us */
+  GQueue queue, low_queue; /* low_queue: served only while `queue` is empty */
   guint timer;
 };
 
 KrRateLimiter *
 kr_rate_limiter_new (double rate, double burst_s)
 {
-  KrRateLimiter *bucket = g_new0 (KrRateLimiter, 1);
-  bucket->rate = rate;
-  bucket->burst_s = burst_s;
-  bucket->burst = bucket->tokens = MAX (1.0, rate * burst_s);
-  bucket->at = kr_now ();
-  g_queue_init (&bucket->queue);
-  g_queue_init (&bucket->last);
-  return bucket;
+  KrRateLimiter *limiter = g_new0 (KrRateLimiter, 1);
+  limiter->rate = rate;
+  limiter->burst_s = burst_s;
+  limiter->burst = limiter->tokens = MAX (1.0, rate * burst_s);
+  limiter->refilled_at = kr_now ();
+  g_queue_init (&limiter->queue);
+  g_queue_init (&limiter->low_queue);
+  return limiter;
 }
 
 void
-kr_rate_limiter_free (KrRateLimiter *bucket)
+kr_rate_limiter_free (KrRateLimiter *limiter)
 {
-  kr_timer_clear (&bucket->timer);
-  g_queue_clear_full (&bucket->queue, g_free);
-  g_queue_clear_full (&bucket->last, g_free);
-  g_free (bucket);
+  kr_timer_clear (&limiter->timer);
+  g_queue_clear_full (&limiter->queue, g_free);
+  g_queue_clear_full (&limiter->low_queue, g_free);
+  g_free (limiter);
 }
 
 static void
-refill (KrRateLimiter *bucket)
+refill (KrRateLimiter *limiter)
 {
   gint64 now = kr_now ();
-  bucket->tokens =
-      MIN (bucket->burst, bucket->tokens + bucket->rate * (now - bucket->at) / G_USEC_PER_SEC);
-  bucket->at = now;
+  limiter->tokens =
+      MIN (limiter->burst,
+           limiter->tokens + limiter->rate * (now - limiter->refilled_at) / G_USEC_PER_SEC);
+  limiter->refilled_at = now;
 }
 
 double
-kr_rate_limiter_rate (KrRateLimiter *bucket)
+kr_rate_limiter_rate (KrRateLimiter *limiter)
 {
-  return bucket->rate;
+  return limiter->rate;
 }
 
 double
-kr_rate_limiter_burst (KrRateLimiter *bucket)
+kr_rate_limiter_burst (KrRateLimiter *limiter)
 {
-  return bucket->burst;
+  return limiter->burst;
 }
 
 double
-kr_rate_limiter_spare (KrRateLimiter *bucket)
+kr_rate_limiter_spare (KrRateLimiter *limiter)
 {
-  refill (bucket);
-  if (bucket->queue.length)
+  refill (limiter);
+  if (limiter->queue.length)
     return 0;
-  double reserve = MAX (1, bucket->burst * KR_BURST_RESERVE_SHARE);
-  return MAX (bucket->tokens >= bucket->burst ? 1 : 0, bucket->tokens - reserve);
+  double reserve = MAX (1, limiter->burst * KR_BURST_RESERVE_SHARE);
+  return MAX (limiter->tokens >= limiter->burst ? 1 : 0, limiter->tokens - reserve);
 }
 
 double
-kr_rate_limiter_queued_cost (KrRateLimiter *bucket)
+kr_rate_limiter_queued_cost (KrRateLimiter *limiter)
 {
   double cost = 0;
-  for (GList *l = bucket->queue.head; l; l = l->next)
-    cost += ((Waiter *) l->data)->cost;
+  for (GList *l = limiter->queue.head; l; l = l->next)
+    cost += ((QueuedCall *) l->data)->cost;
   return cost;
 }
 
 double
-kr_rate_limiter_wait_s (KrRateLimiter *bucket)
+kr_rate_limiter_wait_s (KrRateLimiter *limiter)
 {
-  refill (bucket);
-  return MAX (0, kr_rate_limiter_queued_cost (bucket) - bucket->tokens) / bucket->rate;
+  refill (limiter);
+  return MAX (0, kr_rate_limiter_queued_cost (limiter) - limiter->tokens) / limiter->rate;
 }
 
-static gboolean serve (gpointer data);
+static gboolean serve_queue (gpointer data);
 
 static GQueue *
-next_queue (KrRateLimiter *bucket)
+next_queue (KrRateLimiter *limiter)
 {
-  return bucket->queue.length ? &bucket->queue : &bucket->last;
+  return limiter->queue.length ? &limiter->queue : &limiter->low_queue;
 }
 
 static void
-arm (KrRateLimiter *bucket)
+start_timer (KrRateLimiter *limiter)
 {
-  Waiter *w = g_queue_peek_head (next_queue (bucket));
-  if (!w || bucket->timer)
+  QueuedCall *call = g_queue_peek_head (next_queue (limiter));
+  if (!call || limiter->timer)
     return;
-  /* A call dearer than the burst waits for a full bucket and leaves a debt. */
-  double missing = MAX (0, MIN (w->cost, bucket->burst) - bucket->tokens);
-  bucket->timer =
-      kr_timer_add (MAX (1, (guint) (missing / bucket->rate * 1000) + 1), serve, bucket);
+  /* A call that costs more than the burst waits for a full bucket and makes `tokens` negative. */
+  double missing = MAX (0, MIN (call->cost, limiter->burst) - limiter->tokens);
+  limiter->timer =
+      kr_timer_add (MAX (1, (guint) (missing / limiter->rate * 1000) + 1), serve_queue, limiter);
 }
 
 static gboolean
-serve (gpointer data)
-{
-  KrRateLimiter *bucket = data;
-  Waiter *w;
-  bucket->timer = 0;
-  refill (bucket);
-  while ((w = g_queue_peek_head (next_queue (bucket))) &&
-         bucket->tokens >= MIN (w->cost, bucket->burst)) {
-    g_queue_pop_head (next_queue (bucket));
-    bucket->tokens -= w->cost;
-    w->go (TRUE, w->data);
-    g_free (w);
+serve_queue (gpointer data)
+{
+  KrRateLimiter *limiter = data;
+  QueuedCall *call;
+  limiter->timer = 0;
+  refill (limiter);
+  while ((call = g_queue_peek_head (next_queue (limiter))) &&
+         limiter->tokens >= MIN (call->cost, limiter->burst)) {
+    g_queue_pop_head (next_queue (limiter));
+    limiter->tokens -= call->cost;
+    call->func (TRUE, call->data);
+    g_free (call);
   }
-  arm (bucket);
+  start_timer (limiter);
   return G_SOURCE_REMOVE;
 }
 
 void
-kr_rate_limiter_set_rate (KrRateLimiter *bucket, double rate)
+kr_rate_limiter_set_rate (KrRateLimiter *limiter, double rate)
 {
-  if (rate == bucket->rate)
+  if (rate == limiter->rate)
     return;
-  refill (bucket);
-  bucket->rate = rate;
-  bucket->burst = MAX (1.0, rate * bucket->burst_s);
-  kr_timer_clear (&bucket->timer);
-  arm (bucket);
+  refill (limiter);
+  limiter->rate = rate;
+  limiter->burst = MAX (1.0, rate * limiter->burst_s);
+  kr_timer_clear (&limiter->timer);
+  start_timer (limiter);
 }
 
 void
-kr_rate_limiter_acquire (KrRateLimiter *bucket, double cost, KrQueueClass turn,
-                         KrRateLimiterFunc go, gpointer data)
-{
-  GQueue *queue = turn == KR_QUEUE_LOW ? &bucket->last : &bucket->queue;
-  refill (bucket);
-  if ((turn == KR_QUEUE_HIGH || (bucket->queue.length == 0 && queue->length == 0)) &&
-      bucket->tokens >= MIN (cost, bucket->burst)) {
-    bucket->tokens -= cost;
-    go (TRUE, data);
+kr_rate_limiter_acquire (KrRateLimiter *limiter, double cost, KrQueueClass queue_class,
+                         KrRateLimiterFunc func, gpointer data)
+{
+  GQueue *queue = queue_class == KR_QUEUE_LOW ? &limiter->low_queue : &limiter->queue;
+  refill (limiter);
+  if ((queue_class == KR_QUEUE_HIGH || (limiter->queue.length == 0 && queue->length == 0)) &&
+      limiter->tokens >= MIN (cost, limiter->burst)) {
+    limiter->tokens -= cost;
+    func (TRUE, data);
     return;
   }
-  if (queue->length >= MAX (KR_LIMITER_QUEUE_MIN, bucket->rate * KR_LIMITER_QUEUE_S) &&
-      turn != KR_QUEUE_HIGH) {
-    go (FALSE, data);
+  if (queue->length >= MAX (KR_LIMITER_QUEUE_MIN, limiter->rate * KR_LIMITER_QUEUE_S) &&
+      queue_class != KR_QUEUE_HIGH) {
+    func (FALSE, data);
     return;
   }
-  Waiter *w = g_new (Waiter, 1);
-  *w = (Waiter){ cost, go, data };
-  if (turn == KR_QUEUE_HIGH)
-    g_queue_push_head (queue, w);
+  QueuedCall *call = g_new (QueuedCall, 1);
+  *call = (QueuedCall){ cost, func, data };
+  if (queue_class == KR_QUEUE_HIGH)
+    g_queue_push_head (queue, call);
   else
-    g_queue_push_tail (queue, w);
-  kr_timer_clear (&bucket->timer);
-  arm (bucket);
+    g_queue_push_tail (queue, call);
+  kr_timer_clear (&limiter->timer);
+  start_timer (limiter);
 }
 
 static gboolean
-leave_queue (GQueue *queue, gpointer data)
+remove_from_queue (GQueue *queue, gpointer data)
 {
   for (GList *l = queue->head; l; l = l->next) {
-    if (((Waiter *) l->data)->data != data)
+    if (((QueuedCall *) l->data)->data != data)
       continue;
     g_free (l->data);
     g_queue_delete_link (queue, l);
@@ -192,8 +193,8 @@
 }
 
 void
-kr_rate_limiter_cancel (KrRateLimiter *bucket, gpointer data)
+kr_rate_limiter_cancel (KrRateLimiter *limiter, gpointer data)
 {
-  if (!leave_queue (&bucket->queue, data))
-    leave_queue (&bucket->last, data);
+  if (!remove_from_queue (&limiter->queue, data))
+    remove_from_queue (&limiter->low_queue, data);
 }
--- a/src/rate-limiter.h
+++ b/src/rate-limiter.h
@@ -1,35 +1,40 @@
-/* Orderly cancellation, and rate limits with small queues. */
+/* Token-bucket rate limiter with a bounded queue, and cancellables that follow a parent. */
 #pragma once
 #include <gio/gio.h>
 
-/* A cancellable that is cancelled together with its parent. */
+/* Returns a new cancellable that is cancelled together with `parent`, which may be NULL. The caller
+ * owns the reference. */
 GCancellable *kr_cancellable_new_child (GCancellable *parent);
 
-/* --- rate limit with a small queue --------------------------------------------------- */
+/* --- rate limiter -------------------------------------------------------------------- */
 typedef struct KrRateLimiter KrRateLimiter;
+/* granted: TRUE if the cost was spent; FALSE if the queue was full. */
 typedef void (*KrRateLimiterFunc) (gboolean granted, gpointer data);
-/* `rate` a second, bursts worth `burst_s` seconds. */
+/* `rate`: cost that may be spent a second; `burst_s`: seconds of unused rate that add up, with room
+ * for a cost of at least 1. */
 KrRateLimiter *kr_rate_limiter_new (double rate, double burst_s);
-void kr_rate_limiter_free (KrRateLimiter *bucket);
-/* The rate may change with what the node has to do; what waits is served at the new one. */
-void kr_rate_limiter_set_rate (KrRateLimiter *bucket, double rate);
+void kr_rate_limiter_free (KrRateLimiter *limiter);
+/* Changes the rate, e.g. because the node's load has changed. Queued calls are served at the new
+ * rate. */
+void kr_rate_limiter_set_rate (KrRateLimiter *limiter, double rate);
 typedef enum {
-  KR_QUEUE_NORMAL, /* in turn */
-  KR_QUEUE_HIGH,   /* ahead of the others: leases, ownership, ends */
-  KR_QUEUE_LOW     /* when no other waits: users' questions, of which any number may come */
+  KR_QUEUE_NORMAL, /* in order of arrival */
+  KR_QUEUE_HIGH,   /* ahead of all others: leases, ownership, ends of jobs */
+  KR_QUEUE_LOW     /* only when no other call waits: users' polls, whose number is not bounded */
 } KrQueueClass;
-/* Calls go(TRUE) when `cost` may be spent, at once if possible; go(FALSE) at once if the queue is
- * full. */
-void kr_rate_limiter_acquire (KrRateLimiter *bucket, double cost, KrQueueClass turn,
-                              KrRateLimiterFunc go, gpointer data);
-/* Takes back a call that waits, by its `data`: go is not called for it. */
-void kr_rate_limiter_cancel (KrRateLimiter *bucket, gpointer data);
-double kr_rate_limiter_rate (KrRateLimiter *bucket);
-double kr_rate_limiter_burst (KrRateLimiter *bucket);
-/* What may be spent now on work that can wait: a reserve stays for the rest. A full bucket always
- * spares something. */
-double kr_rate_limiter_spare (KrRateLimiter *bucket);
-/* Cost of what waits now. */
-double kr_rate_limiter_queued_cost (KrRateLimiter *bucket);
-/* Seconds until what waits now has been served. */
-double kr_rate_limiter_wait_s (KrRateLimiter *bucket);
+/* Calls func(TRUE) once `cost` may be spent, which may be at once; calls func(FALSE) at once if the
+ * queue is full. Calls of class high are never refused. */
+void kr_rate_limiter_acquire (KrRateLimiter *limiter, double cost, KrQueueClass queue_class,
+                              KrRateLimiterFunc func, gpointer data);
+/* Removes the queued call with this `data`; its function is not called. */
+void kr_rate_limiter_cancel (KrRateLimiter *limiter, gpointer data);
+double kr_rate_limiter_rate (KrRateLimiter *limiter);
+double kr_rate_limiter_burst (KrRateLimiter *limiter);
+/* Returns the cost that may be spent now on work that can wait. A reserve is kept for other calls;
+ * if the bucket is full, the result is at least 1. It is 0 while calls of class normal or high are
+ * queued. */
+double kr_rate_limiter_spare (KrRateLimiter *limiter);
+/* Returns the cost of all queued calls, without those of class low. */
+double kr_rate_limiter_queued_cost (KrRateLimiter *limiter);
+/* Returns the seconds until these calls have been served. */
+double kr_rate_limiter_wait_s (KrRateLimiter *limiter);
