--- a/src/failure-detector.h
+++ b/src/failure-detector.h
@@ -7,14 +7,13 @@
 #pragma once
 #include "membership.h"
 
-/* Path on the address for peers: tells for how long a node has had no answer from the state
- * service.
- */
+/* Path on the internal address. The answer says how long ago the state service last answered the
+ * node. */
 #define KR_PEER_HEALTH "/health"
 
 typedef struct KrDetector KrDetector;
-/* Called when a peer answers a ping. silence_s: seconds since the state service last
- * answered that peer. */
+/* Called when a peer answers a ping. silence_s: seconds since the state service last answered that
+ * peer. */
 typedef void (*KrPeerSilenceFunc) (double silence_s, gpointer data);
 
 KrDetector *kr_detector_new (const KrSettings *settings, KrStateClient *state, KrHttpClient *peers,
--- a/src/state-client.c
+++ b/src/state-client.c
@@ -6,8 +6,8 @@
 struct KrStateClient {
   KrHttpClient *client;
   char *host;
-  KrRateLimiter *requests, *writes;
-  gint64 heard, failed; /* monotonic us; 0: not yet */
+  KrRateLimiter *request_limiter, *write_limiter;
+  gint64 answered_at, failed_at; /* monotonic us of the newest answer and failure; 0: none yet */
 };
 
 typedef struct {
@@ -15,24 +15,24 @@
   const char *method;
   char *path;
   json_t *body;
-  KrQueueClass turn;
+  KrQueueClass queue_class;
   guint timeout_ms;
   GCancellable *cancel;
   KrHttpResponseFunc reply;
   gpointer data;
-  KrRateLimiter *limit; /* in which it waits */
-  guint timer;          /* until it has waited long enough */
-} Op;
+  KrRateLimiter *limiter; /* the rate limiter in whose queue the request waits */
+  guint timer;            /* ends the wait for the rate limiters */
+} Request;
 
 KrStateClient *
 kr_state_new (const KrSettings *settings)
 {
   KrStateClient *state = g_new0 (KrStateClient, 1);
-  state->client =
-      kr_http_client_new (KR_STATE_CONNS, KR_STATE_CONNS, 0 /* its watches are always under way */);
+  state->client = kr_http_client_new (KR_STATE_CONNS, KR_STATE_CONNS,
+                                      0 /* never idle: watches are always in flight */);
   state->host = g_strdup (settings->state);
-  state->requests = kr_rate_limiter_new (settings->state_rps / settings->shard_count, 1);
-  state->writes = kr_rate_limiter_new (settings->state_write_rps / settings->shard_count, 1);
+  state->request_limiter = kr_rate_limiter_new (settings->state_rps / settings->shard_count, 1);
+  state->write_limiter = kr_rate_limiter_new (settings->state_write_rps / settings->shard_count, 1);
   return state;
 }
 
@@ -40,8 +40,8 @@
 kr_state_free (KrStateClient *state)
 {
   kr_http_client_free (state->client);
-  kr_rate_limiter_free (state->requests);
-  kr_rate_limiter_free (state->writes);
+  kr_rate_limiter_free (state->request_limiter);
+  kr_rate_limiter_free (state->write_limiter);
   g_free (state->host);
   g_free (state);
 }
@@ -49,374 +49,378 @@
 double
 kr_state_write_wait (KrStateClient *state)
 {
-  return kr_rate_limiter_wait_s (state->writes);
+  return kr_rate_limiter_wait_s (state->write_limiter);
 }
 
 double
 kr_state_request_rate (KrStateClient *state)
 {
-  return kr_rate_limiter_rate (state->requests);
+  return kr_rate_limiter_rate (state->request_limiter);
 }
 
 guint
 kr_state_write_burst (KrStateClient *state)
 {
-  return (guint) kr_rate_limiter_burst (state->writes);
+  return (guint) kr_rate_limiter_burst (state->write_limiter);
 }
 
 guint
 kr_state_spare_writes (KrStateClient *state)
 {
-  return (guint) kr_rate_limiter_spare (state->writes);
+  return (guint) kr_rate_limiter_spare (state->write_limiter);
 }
 
 double
 kr_state_queued_writes (KrStateClient *state)
 {
-  return kr_rate_limiter_queued_cost (state->writes);
+  return kr_rate_limiter_queued_cost (state->write_limiter);
 }
 
 void
-kr_state_set_rates (KrStateClient *state, double requests, double writes)
+kr_state_set_rates (KrStateClient *state, double requests_per_s, double writes_per_s)
 {
-  kr_rate_limiter_set_rate (state->requests, requests);
-  kr_rate_limiter_set_rate (state->writes, writes);
+  kr_rate_limiter_set_rate (state->request_limiter, requests_per_s);
+  kr_rate_limiter_set_rate (state->write_limiter, writes_per_s);
 }
 
 double
 kr_state_seconds_since_answer (KrStateClient *state)
 {
-  return state->heard ? (double) (kr_now () - state->heard) / G_USEC_PER_SEC : G_MAXINT;
+  return state->answered_at ? (double) (kr_now () - state->answered_at) / G_USEC_PER_SEC : G_MAXINT;
 }
 
 double
 kr_state_seconds_since_failure (KrStateClient *state)
 {
-  return state->failed ? (double) (kr_now () - state->failed) / G_USEC_PER_SEC : G_MAXINT;
+  return state->failed_at ? (double) (kr_now () - state->failed_at) / G_USEC_PER_SEC : G_MAXINT;
 }
 
 static void
-op_free (Op *op)
+request_free (Request *request)
 {
-  kr_timer_clear (&op->timer);
-  g_free (op->path);
-  json_decref (op->body);
-  g_clear_object (&op->cancel);
-  g_free (op);
+  kr_timer_clear (&request->timer);
+  g_free (request->path);
+  json_decref (request->body);
+  g_clear_object (&request->cancel);
+  g_free (request);
 }
 
 static void
-op_done (guint status, json_t *body, gpointer data)
+request_done (guint status, json_t *body, gpointer data)
 {
-  Op *op = data;
+  Request *request = data;
   if (status && status != 503)
-    op->state->heard = kr_now ();
-  else if (!op->cancel || !g_cancellable_is_cancelled (op->cancel))
-    op->state->failed = kr_now ();
-  op->reply (status, body, op->data);
-  op_free (op);
+    request->state->answered_at = kr_now ();
+  else if (!request->cancel || !g_cancellable_is_cancelled (request->cancel))
+    request->state->failed_at = kr_now ();
+  request->reply (status, body, request->data);
+  request_free (request);
 }
 
 static void
-op_refuse (Op *op)
+request_refuse (Request *request)
 {
-  op->reply (429, NULL, op->data);
-  op_free (op);
+  request->reply (429, NULL, request->data);
+  request_free (request);
 }
 
-/* Guards against one that others keep from its turn for as long as they use the limit up. */
+/* Refuses a request that has waited too long. Without this, a request would wait for as long as
+ * requests ahead of it use up the rate limit. */
 static gboolean
-op_late (gpointer data)
+request_expired (gpointer data)
 {
-  Op *op = data;
-  op->timer = 0;
-  kr_rate_limiter_cancel (op->limit, op);
-  op_refuse (op);
+  Request *request = data;
+  request->timer = 0;
+  kr_rate_limiter_cancel (request->limiter, request);
+  request_refuse (request);
   return G_SOURCE_REMOVE;
 }
 
 static void
-op_send (gboolean granted, gpointer data)
+request_send (gboolean granted, gpointer data)
 {
-  Op *op = data;
+  Request *request = data;
   if (!granted) {
-    op_refuse (op);
+    request_refuse (request);
     return;
   }
-  kr_timer_clear (&op->timer);
-  kr_http_client_call (op->state->client, op->method, op->state->host, op->path,
-                       g_steal_pointer (&op->body), op->timeout_ms, op->cancel, op_done, op);
+  kr_timer_clear (&request->timer);
+  kr_http_client_call (request->state->client, request->method, request->state->host, request->path,
+                       g_steal_pointer (&request->body), request->timeout_ms, request->cancel,
+                       request_done, request);
 }
 
 static void
-op_request (gboolean granted, gpointer data)
+request_acquire (gboolean granted, gpointer data)
 {
-  Op *op = data;
-  op->limit = op->state->requests;
+  Request *request = data;
+  request->limiter = request->state->request_limiter;
   if (granted)
-    kr_rate_limiter_acquire (op->limit, 1, op->turn, op_send, op);
+    kr_rate_limiter_acquire (request->limiter, 1, request->queue_class, request_send, request);
   else
-    op_refuse (op);
+    request_refuse (request);
 }
 
 static void
-start (KrStateClient *state, const char *method, char *path, json_t *body, double puts,
-       KrQueueClass turn, guint timeout_ms, GCancellable *cancel, KrHttpResponseFunc reply,
-       gpointer data)
-{
-  Op *op = g_new0 (Op, 1);
-  *op = (Op){ .state = state,
-              .method = method,
-              .path = path,
-              .body = body,
-              .turn = turn,
-              .timeout_ms = timeout_ms,
-              .cancel = cancel ? g_object_ref (cancel) : NULL,
-              .reply = reply,
-              .data = data,
-              .limit = state->writes };
-  op->timer =
-      kr_timer_add (turn == KR_QUEUE_LOW ? timeout_ms : KR_LIMITER_WAIT_MAX_MS, op_late, op);
-  if (puts > 0)
-    kr_rate_limiter_acquire (op->limit, puts, turn, op_request, op);
+request_start (KrStateClient *state, const char *method, char *path, json_t *body,
+               double write_count, KrQueueClass queue_class, guint timeout_ms, GCancellable *cancel,
+               KrHttpResponseFunc reply, gpointer data)
+{
+  Request *request = g_new0 (Request, 1);
+  *request = (Request){ .state = state,
+                        .method = method,
+                        .path = path,
+                        .body = body,
+                        .queue_class = queue_class,
+                        .timeout_ms = timeout_ms,
+                        .cancel = cancel ? g_object_ref (cancel) : NULL,
+                        .reply = reply,
+                        .data = data,
+                        .limiter = state->write_limiter };
+  request->timer = kr_timer_add (queue_class == KR_QUEUE_LOW ? timeout_ms : KR_LIMITER_WAIT_MAX_MS,
+                                 request_expired, request);
+  if (write_count > 0)
+    kr_rate_limiter_acquire (request->limiter, write_count, queue_class, request_acquire, request);
   else
-    op_request (TRUE, op);
+    request_acquire (TRUE, request);
 }
 
 void
-kr_state_get (KrStateClient *state, const char *key, KrQueueClass turn, guint timeout_ms,
+kr_state_get (KrStateClient *state, const char *key, KrQueueClass queue_class, guint timeout_ms,
               GCancellable *cancel, KrHttpResponseFunc reply, gpointer data)
 {
-  start (state, "GET", kr_wire_key_path (key), NULL, 0, turn, timeout_ms, cancel, reply, data);
+  request_start (state, "GET", kr_wire_key_path (key), NULL, 0, queue_class, timeout_ms, cancel,
+                 reply, data);
 }
 
 void
 kr_state_changes (KrStateClient *state, const char *prefix, guint64 after, guint timeout_ms,
                   GCancellable *cancel, KrHttpResponseFunc reply, gpointer data)
 {
-  start (state, "GET", kr_wire_watch_path (prefix, after, 0), NULL, 0, KR_QUEUE_NORMAL, timeout_ms,
-         cancel, reply, data);
+  request_start (state, "GET", kr_wire_watch_path (prefix, after, 0), NULL, 0, KR_QUEUE_NORMAL,
+                 timeout_ms, cancel, reply, data);
 }
 
 void
-kr_state_commit (KrStateClient *state, KrTxn *txn, KrQueueClass turn, guint timeout_ms,
+kr_state_commit (KrStateClient *state, KrTxn *txn, KrQueueClass queue_class, guint timeout_ms,
                  GCancellable *cancel, KrHttpResponseFunc reply, gpointer data)
 {
-  start (state, "POST", g_strdup (KR_PATH_COMMIT), kr_txn_to_json (txn), kr_txn_write_count (txn),
-         turn, timeout_ms, cancel, reply, data);
+  request_start (state, "POST", g_strdup (KR_PATH_COMMIT), kr_txn_to_json (txn),
+                 kr_txn_write_count (txn), queue_class, timeout_ms, cancel, reply, data);
   kr_txn_free (txn);
 }
 
 void
-kr_state_grant_or_renew_lease (KrStateClient *state, guint64 lease, guint life_ms,
+kr_state_grant_or_renew_lease (KrStateClient *state, guint64 lease, guint ttl_ms,
                                GCancellable *cancel, KrHttpResponseFunc reply, gpointer data)
 {
-  start (state, "POST", lease ? kr_wire_lease_extend_path (lease) : g_strdup (KR_PATH_LEASES),
-         kr_wire_lease_request (life_ms), 0, KR_QUEUE_HIGH, KR_STATE_TIMEOUT_MS, cancel, reply,
-         data);
+  request_start (
+      state, "POST", lease ? kr_wire_lease_extend_path (lease) : g_strdup (KR_PATH_LEASES),
+      kr_wire_lease_request (ttl_ms), 0, KR_QUEUE_HIGH, KR_STATE_TIMEOUT_MS, cancel, reply, data);
 }
 
 void
 kr_state_revoke_lease (KrStateClient *state, guint64 lease, GCancellable *cancel,
                        KrHttpResponseFunc reply, gpointer data)
 {
-  start (state, "DELETE", kr_wire_lease_path (lease), NULL, 0, KR_QUEUE_HIGH, KR_STATE_TIMEOUT_MS,
-         cancel, reply, data);
+  request_start (state, "DELETE", kr_wire_lease_path (lease), NULL, 0, KR_QUEUE_HIGH,
+                 KR_STATE_TIMEOUT_MS, cancel, reply, data);
 }
 
-/* --- follower ------------------------------------------------------------------------ */
+/* --- watch --------------------------------------------------------------------------- */
 struct KrWatch {
   KrStateClient *state;
   char *prefix;
-  GCancellable *parent, *cancel; /* cancel: of the call under way */
-  KrWatchListFunc on_scan;
+  GCancellable *parent, *cancel; /* cancel: of the call in flight */
+  KrWatchListFunc on_list;
   KrWatchEventFunc on_event;
   gpointer data;
-  guint64 from;
-  gboolean scanned;
-  json_t *items; /* pages so far */
-  guint64 first_revision;
-  guint timer; /* until the next call; while one is under way: until it counts as lost */
+  guint64 revision;
+  gboolean listed;
+  json_t *items; /* the pages of the list read so far */
+  guint64 list_revision;
+  guint timer; /* until the next call; while a call is in flight: until it counts as lost */
 };
 
-/* A call under way; it may outlive the follower's interest in it. */
+/* A call in flight. It may end after the watch has abandoned it. */
 typedef struct {
-  KrWatch *follow;
+  KrWatch *watch;
   GCancellable *cancel;
-} Turn;
+} WatchCall;
 
-static void step (KrWatch *follow);
+static void send_next_call (KrWatch *watch);
 
 static gboolean
-step_again (gpointer data)
+next_call_due (gpointer data)
 {
-  KrWatch *follow = data;
-  follow->timer = 0;
-  step (follow);
+  KrWatch *watch = data;
+  watch->timer = 0;
+  send_next_call (watch);
   return G_SOURCE_REMOVE;
 }
 
 static void
-step_later (KrWatch *follow, guint ms)
+schedule_next_call (KrWatch *watch, guint ms)
 {
-  kr_timer_clear (&follow->timer);
-  follow->timer = kr_timer_add (ms, step_again, follow);
+  kr_timer_clear (&watch->timer);
+  watch->timer = kr_timer_add (ms, next_call_due, watch);
 }
 
-/* Drops the interest in the call under way. */
+/* Cancels the call in flight; its response will be ignored. */
 static void
-leave_call (KrWatch *follow)
+abandon_call (KrWatch *watch)
 {
-  GCancellable *cancel = g_steal_pointer (&follow->cancel);
+  GCancellable *cancel = g_steal_pointer (&watch->cancel);
   if (!cancel)
     return;
   g_cancellable_cancel (cancel);
   g_object_unref (cancel);
 }
 
-/* Every other step follows from an answer: without one the prefix would never be read again. */
+/* Guards against a call whose end is never reported. Each call is scheduled when the previous one
+ * ends, so the prefix would never be read again. */
 static gboolean
 call_lost (gpointer data)
 {
-  KrWatch *follow = data;
-  follow->timer = 0;
-  kr_info ("state: a read of %s had no end, reading on", follow->prefix);
-  leave_call (follow);
-  step_later (follow, KR_STATE_RETRY_MS);
+  KrWatch *watch = data;
+  watch->timer = 0;
+  kr_info ("state: the end of a read of %s was never reported, reading again", watch->prefix);
+  abandon_call (watch);
+  schedule_next_call (watch, KR_STATE_RETRY_MS);
   return G_SOURCE_REMOVE;
 }
 
 static void
-scan_page (KrWatch *follow, json_t *body)
+handle_list_page (KrWatch *watch, json_t *body)
 {
   gboolean more;
   json_t *items = kr_wire_store_list_items (body, &more);
   KrKeyValue last;
 
   if (!json_is_array (items)) {
-    step_later (follow, KR_STATE_RETRY_MS);
+    schedule_next_call (watch, KR_STATE_RETRY_MS);
     return;
   }
-  if (!follow->items) {
-    follow->items = json_array ();
-    follow->first_revision = kr_wire_revision (body);
+  if (!watch->items) {
+    watch->items = json_array ();
+    watch->list_revision = kr_wire_revision (body);
   }
-  json_array_extend (follow->items, items);
+  json_array_extend (watch->items, items);
   if (more && json_array_size (items) > 0 &&
       kr_wire_key_value_parse (json_array_get (items, json_array_size (items) - 1), &last)) {
-    step (follow);
+    send_next_call (watch);
     return;
   }
-  json_t *all = g_steal_pointer (&follow->items);
-  follow->scanned = TRUE;
-  follow->from = follow->first_revision;
-  follow->on_scan (all, follow->from, follow->data);
+  json_t *all = g_steal_pointer (&watch->items);
+  watch->listed = TRUE;
+  watch->revision = watch->list_revision;
+  watch->on_list (all, watch->revision, watch->data);
   json_decref (all);
-  if (follow->scanned && !follow->cancel)
-    step_later (follow, KR_WATCH_INTERVAL_MS);
+  if (watch->listed && !watch->cancel)
+    schedule_next_call (watch, KR_WATCH_INTERVAL_MS);
 }
 
 static void
-events (KrWatch *follow, json_t *body)
+handle_watch_events (KrWatch *watch, json_t *body)
 {
   json_t *a = kr_wire_watch_events (body), *o;
   size_t i;
   guint64 revision = kr_wire_revision (body);
 
-  if (revision > follow->from)
-    follow->from = revision;
+  if (revision > watch->revision)
+    watch->revision = revision;
   json_array_foreach (a, i, o)
   {
     KrKeyValue item;
     if (kr_wire_watch_event_parse (o, &item))
-      follow->on_event (&item, follow->data);
-    if (!follow->scanned) /* an event made somebody ask for a rescan */
+      watch->on_event (&item, watch->data);
+    if (!watch->listed) /* the callback has called kr_watch_relist() or kr_watch_stop() */
       return;
   }
-  step_later (follow, KR_WATCH_INTERVAL_MS);
+  schedule_next_call (watch, KR_WATCH_INTERVAL_MS);
 }
 
 static void
-step_done (guint status, json_t *body, gpointer data)
+call_done (guint status, json_t *body, gpointer data)
 {
-  Turn *turn = data;
-  KrWatch *follow = turn->follow;
-  gboolean current = follow->cancel == turn->cancel;
+  WatchCall *call = data;
+  KrWatch *watch = call->watch;
+  gboolean current = watch->cancel == call->cancel;
 
-  g_object_unref (turn->cancel);
-  g_free (turn);
-  if (!current || g_cancellable_is_cancelled (follow->parent))
+  g_object_unref (call->cancel);
+  g_free (call);
+  if (!current || g_cancellable_is_cancelled (watch->parent))
     return;
-  g_clear_object (&follow->cancel);
-  kr_timer_clear (&follow->timer);
+  g_clear_object (&watch->cancel);
+  kr_timer_clear (&watch->timer);
   if (status == 410) {
-    kr_info ("state: watch of %s is too old, reading it anew", follow->prefix);
-    kr_watch_relist (follow);
+    kr_info ("state: the watch of %s is too far behind, listing it again", watch->prefix);
+    kr_watch_relist (watch);
   } else if (status != 200)
-    step_later (follow, KR_STATE_RETRY_MS);
-  else if (follow->scanned)
-    events (follow, body);
+    schedule_next_call (watch, KR_STATE_RETRY_MS);
+  else if (watch->listed)
+    handle_watch_events (watch, body);
   else
-    scan_page (follow, body);
+    handle_list_page (watch, body);
 }
 
 static void
-step (KrWatch *follow)
+send_next_call (KrWatch *watch)
 {
-  Turn *turn = g_new (Turn, 1);
+  WatchCall *call = g_new (WatchCall, 1);
   char *path;
   guint timeout = KR_STATE_TIMEOUT_MS;
 
-  if (follow->scanned) {
-    path = kr_wire_watch_path (follow->prefix, follow->from, KR_WATCH_HOLD_MS);
+  if (watch->listed) {
+    path = kr_wire_watch_path (watch->prefix, watch->revision, KR_WATCH_HOLD_MS);
     timeout = KR_WATCH_HOLD_MS + KR_WATCH_TIMEOUT_SLACK_MS;
   } else {
     KrKeyValue last = { 0 };
-    size_t n = json_array_size (follow->items);
+    size_t n = json_array_size (watch->items);
     if (n)
-      kr_wire_key_value_parse (json_array_get (follow->items, n - 1), &last);
-    path = kr_wire_store_list_path (follow->prefix, last.key, KR_STORE_LIST_PAGE_KEYS);
+      kr_wire_key_value_parse (json_array_get (watch->items, n - 1), &last);
+    path = kr_wire_store_list_path (watch->prefix, last.key, KR_STORE_LIST_PAGE_KEYS);
   }
-  follow->cancel = kr_cancellable_new_child (follow->parent);
-  *turn = (Turn){ follow, g_object_ref (follow->cancel) };
-  kr_timer_clear (&follow->timer);
-  follow->timer = kr_timer_add (timeout + KR_WATCH_LOST_MS, call_lost, follow);
-  start (follow->state, "GET", path, NULL, 0, KR_QUEUE_HIGH, timeout, follow->cancel, step_done,
-         turn);
+  watch->cancel = kr_cancellable_new_child (watch->parent);
+  *call = (WatchCall){ watch, g_object_ref (watch->cancel) };
+  kr_timer_clear (&watch->timer);
+  watch->timer = kr_timer_add (timeout + KR_WATCH_LOST_MS, call_lost, watch);
+  request_start (watch->state, "GET", path, NULL, 0, KR_QUEUE_HIGH, timeout, watch->cancel,
+                 call_done, call);
 }
 
 KrWatch *
 kr_watch_new (KrStateClient *state, const char *prefix, GCancellable *cancel,
-              KrWatchListFunc on_scan, KrWatchEventFunc on_event, gpointer data)
+              KrWatchListFunc on_list, KrWatchEventFunc on_event, gpointer data)
 {
-  KrWatch *follow = g_new0 (KrWatch, 1);
-  follow->state = state;
-  follow->prefix = g_strdup (prefix);
-  follow->parent = kr_cancellable_new_child (cancel);
-  follow->on_scan = on_scan;
-  follow->on_event = on_event;
-  follow->data = data;
-  return follow;
+  KrWatch *watch = g_new0 (KrWatch, 1);
+  watch->state = state;
+  watch->prefix = g_strdup (prefix);
+  watch->parent = kr_cancellable_new_child (cancel);
+  watch->on_list = on_list;
+  watch->on_event = on_event;
+  watch->data = data;
+  return watch;
 }
 
 void
-kr_watch_stop (KrWatch *follow)
+kr_watch_stop (KrWatch *watch)
 {
-  kr_timer_clear (&follow->timer);
-  g_clear_pointer (&follow->items, json_decref);
-  follow->scanned = FALSE;
-  leave_call (follow);
+  kr_timer_clear (&watch->timer);
+  g_clear_pointer (&watch->items, json_decref);
+  watch->listed = FALSE;
+  abandon_call (watch);
 }
 
 void
-kr_watch_relist (KrWatch *follow)
+kr_watch_relist (KrWatch *watch)
 {
-  kr_watch_stop (follow);
-  step (follow);
+  kr_watch_stop (watch);
+  send_next_call (watch);
 }
 
 guint64
-kr_watch_revision (const KrWatch *follow)
+kr_watch_revision (const KrWatch *watch)
 {
-  return follow->scanned ? follow->from : 0;
+  return watch->listed ? watch->revision : 0;
 }
--- a/src/state-client.h
+++ b/src/state-client.h
@@ -1,4 +1,5 @@
-/* The state service's client: rate-limited calls, and a follower that keeps a prefix in view. */
+/* Client of the state service: rate-limited calls, and watches that list a key prefix and then
+ * follow its changes. */
 #pragma once
 #include "rate-limiter.h"
 #include "http-client.h"
@@ -10,51 +11,59 @@
 KrStateClient *kr_state_new (const KrSettings *settings);
 void kr_state_free (KrStateClient *state);
 
-/* status 429: refused by our own limit or the service's, not executed; 0: unknown outcome.
- * `timeout_ms` counts from when the call is sent. Before that it waits for our own limit, for
- * KR_LIMITER_WAIT_MAX_MS at most, or, with KR_QUEUE_LOW, for timeout_ms. */
-void kr_state_get (KrStateClient *state, const char *key, KrQueueClass turn, guint timeout_ms,
-                   GCancellable *cancel, KrHttpResponseFunc reply, gpointer data);
-/* All changes below a prefix after a revision, as they are when the request is carried out. */
+/* All calls pass an HTTP status to `reply`. 429: refused by this node's rate limit or by the
+ * service, not executed; 0: the outcome is unknown. `timeout_ms` counts from the moment at which
+ * the call is sent. Before that the call waits for the rate limit, for at most
+ * KR_LIMITER_WAIT_MAX_MS, or `timeout_ms` in class KR_QUEUE_LOW. */
+void kr_state_get (KrStateClient *state, const char *key, KrQueueClass queue_class,
+                   guint timeout_ms, GCancellable *cancel, KrHttpResponseFunc reply, gpointer data);
+/* Reads all changes below a prefix after the revision `after` up to the execution of the call. */
 void kr_state_changes (KrStateClient *state, const char *prefix, guint64 after, guint timeout_ms,
                        GCancellable *cancel, KrHttpResponseFunc reply, gpointer data);
-/* Takes over `txn`. */
-void kr_state_commit (KrStateClient *state, KrTxn *txn, KrQueueClass turn, guint timeout_ms,
+/* Takes ownership of `txn`. */
+void kr_state_commit (KrStateClient *state, KrTxn *txn, KrQueueClass queue_class, guint timeout_ms,
                       GCancellable *cancel, KrHttpResponseFunc reply, gpointer data);
-void kr_state_grant_or_renew_lease (KrStateClient *state, guint64 lease, guint life_ms,
-                                    GCancellable *cancel, KrHttpResponseFunc reply,
-                                    gpointer data); /* lease 0: a new one */
-/* Ends a lease at once, whoever has it: all keys on it vanish. 404: it had ended before. */
+/* Renews a lease, or requests a new one if `lease` is 0. */
+void kr_state_grant_or_renew_lease (KrStateClient *state, guint64 lease, guint ttl_ms,
+                                    GCancellable *cancel, KrHttpResponseFunc reply, gpointer data);
+/* Ends a lease at once, whichever node holds it; all keys bound to it are deleted. 404: the lease
+ * had ended before. */
 void kr_state_revoke_lease (KrStateClient *state, guint64 lease, GCancellable *cancel,
                             KrHttpResponseFunc reply, gpointer data);
-/* Seconds since a call last failed (503, or no answer); very long if none has. */
+/* Returns the seconds since a call last failed (503, or no answer); G_MAXINT if none has. */
 double kr_state_seconds_since_failure (KrStateClient *state);
-/* Seconds that a further write would wait now. */
+/* Returns the seconds that a further write would wait for the rate limit now. */
 double kr_state_write_wait (KrStateClient *state);
-/* Puts and deletes that leave no debt: what a full budget holds. */
+/* Returns the number of puts and deletes that a full bucket allows at once. A larger transaction
+ * leaves the bucket with a debt, which delays later writes. */
 guint kr_state_write_burst (KrStateClient *state);
-/* Puts and deletes that may go out now for what can wait. */
+/* Returns the number of puts and deletes that may be sent now for work that can wait. */
 guint kr_state_spare_writes (KrStateClient *state);
-/* Puts and deletes that wait for the limit now. */
+/* Returns the number of puts and deletes that are queued for the rate limit. */
 double kr_state_queued_writes (KrStateClient *state);
-/* Requests, and puts and deletes, a second that this node may make. */
-void kr_state_set_rates (KrStateClient *state, double requests, double writes);
-/* Requests a second that this node may make now. */
+/* Sets this node's rate limits: requests a second, and puts and deletes a second. */
+void kr_state_set_rates (KrStateClient *state, double requests_per_s, double writes_per_s);
+/* Returns the requests a second that this node may make now. */
 double kr_state_request_rate (KrStateClient *state);
-/* Time since the service last answered anything but 503, in seconds; very long if it never did: a
- * node that has just started must not tell others that it is served. */
+/* Returns the seconds since the service last answered with anything but 503; G_MAXINT if it never
+ * did, so that a node which has just started does not tell others that it reaches the service. */
 double kr_state_seconds_since_answer (KrStateClient *state);
 
-/* Reads a prefix whole, then follows its changes. After a gap it reads the prefix anew. */
+/* Lists a key prefix, then follows its changes. After a gap in the changes it lists the prefix
+ * again. */
 typedef struct KrWatch KrWatch;
-/* items: JSON array for kr_wire_key_value_parse; revision: all changes up to it are in there. */
+/* items: JSON array for kr_wire_key_value_parse(), borrowed; it includes all changes up to
+ * `revision`. */
 typedef void (*KrWatchListFunc) (json_t *items, guint64 revision, gpointer data);
 typedef void (*KrWatchEventFunc) (const KrKeyValue *item, gpointer data);
+/* Returns a stopped watch; kr_watch_relist() starts it. */
 KrWatch *kr_watch_new (KrStateClient *state, const char *prefix, GCancellable *cancel,
-                       KrWatchListFunc on_scan, KrWatchEventFunc on_event, gpointer data);
-/* Drops what is under way and reads anew: the next on_scan began after this call. */
-void kr_watch_relist (KrWatch *follow);
-/* Everything up to this revision has been shown; 0: a scan is under way. */
-guint64 kr_watch_revision (const KrWatch *follow);
-/* Stops until the next rescan. */
-void kr_watch_stop (KrWatch *follow);
+                       KrWatchListFunc on_list, KrWatchEventFunc on_event, gpointer data);
+/* Abandons the call in flight and lists the prefix again: the next call of on_list is for a list
+ * that was started after this call. */
+void kr_watch_relist (KrWatch *watch);
+/* Returns the revision up to which all changes have been passed to the callbacks; 0 while a list is
+ * in progress or the watch is stopped. */
+guint64 kr_watch_revision (const KrWatch *watch);
+/* Stops the watch until kr_watch_relist() is called. */
+void kr_watch_stop (KrWatch *watch);
