--- a/src/machine-records.c
+++ b/src/machine-records.c
@@ -3,10 +3,10 @@
 #include "log.h"
 #include <stdio.h>
 
-#define PREFIX "c/berths/"
+#define PREFIX "c/berths/" /* stored name of the machine records */
 
 typedef struct {
-  json_t *machines; /* id -> address or "" */
+  json_t *machines; /* machine id -> address or "" */
   guint64 revision;
 } Chunk;
 
@@ -14,26 +14,26 @@
   const KrSettings *settings;
   KrMachineRecordEvents events;
   gpointer data;
-  GArray **shards;   /* size: Chunk each */
-  GHashTable *index; /* id -> KrMachineRecord */
-  guint room;        /* machines a chunk */
+  GArray **shards;      /* for each shard: array of Chunk */
+  GHashTable *index;    /* machine id -> KrMachineRecord */
+  guint chunk_capacity; /* machines that fit into a chunk */
 };
 
 typedef struct {
   guint shard, chunk;
-  json_t *machines;
-  guint64 revision;
-} Change;
+  json_t *machines; /* new contents of the chunk */
+  guint64 revision; /* expected of the chunk's key */
+} ChunkChange;
 
 struct KrRecordUpdate {
   KrMachineRecords *records;
-  GArray *changes; /* Change */
+  GArray *changes; /* ChunkChange */
 };
 
 static void
-chunk_clear (gpointer p)
+chunk_clear (gpointer chunk)
 {
-  json_decref (((Chunk *) p)->machines);
+  json_decref (((Chunk *) chunk)->machines);
 }
 
 KrMachineRecords *
@@ -45,28 +45,28 @@
   records->events = *events;
   records->data = data;
   records->shards = g_new0 (GArray *, settings->shard_count);
-  for (guint p = 0; p < settings->shard_count; p++) {
-    records->shards[p] = g_array_new (FALSE, TRUE, sizeof (Chunk));
-    g_array_set_clear_func (records->shards[p], chunk_clear);
+  for (guint shard = 0; shard < settings->shard_count; shard++) {
+    records->shards[shard] = g_array_new (FALSE, TRUE, sizeof (Chunk));
+    g_array_set_clear_func (records->shards[shard], chunk_clear);
   }
   records->index = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
-  records->room = (guint) MIN (KR_RECORD_CHUNK_MACHINES,
-                               (settings->state_value_kb * 1024 - KR_VALUE_SLACK_BYTES) /
-                                   KR_RECORD_MACHINE_BYTES);
+  records->chunk_capacity = (guint) MIN (KR_RECORD_CHUNK_MACHINES,
+                                         (settings->state_value_kb * 1024 - KR_VALUE_SLACK_BYTES) /
+                                             KR_RECORD_MACHINE_BYTES);
   return records;
 }
 
 void
 kr_machine_records_free (KrMachineRecords *records)
 {
-  for (guint p = 0; p < records->settings->shard_count; p++)
-    g_array_unref (records->shards[p]);
+  for (guint shard = 0; shard < records->settings->shard_count; shard++)
+    g_array_unref (records->shards[shard]);
   g_free (records->shards);
   g_hash_table_unref (records->index);
   g_free (records);
 }
 
-/* A chunk as it is known; NULL: there is none yet. */
+/* Returns the known contents of a chunk; NULL if it does not exist. */
 static const Chunk *
 known_chunk (const KrMachineRecords *records, guint shard, guint chunk)
 {
@@ -74,9 +74,10 @@
   return chunk < all->len ? &g_array_index (all, Chunk, chunk) : NULL;
 }
 
-/* A machine's entry there: its address, "" or NULL (it is not there). */
+/* Returns a machine's entry in a chunk: its address, "" if the machine is not used, or NULL if the
+ * chunk does not hold it. */
 static const char *
-entry (const KrMachineRecords *records, guint shard, guint chunk, const char *id)
+find_in_chunk (const KrMachineRecords *records, guint shard, guint chunk, const char *id)
 {
   const Chunk *known = known_chunk (records, shard, chunk);
   json_t *o = known ? json_object_get (known->machines, id) : NULL;
@@ -84,9 +85,9 @@
   return o && !address ? "" : address;
 }
 
-/* Of two chunks that hold a machine, the one to which it belongs. */
+/* Whether the machine belongs to the chunk of `a`, if the chunks of `a` and `b` both hold it. */
 static gboolean
-goes_before (const KrMachineRecord *a, const KrMachineRecord *b)
+takes_precedence (const KrMachineRecord *a, const KrMachineRecord *b)
 {
   gboolean a_used = *a->address != 0, b_used = *b->address != 0;
   if (a_used != b_used)
@@ -94,46 +95,49 @@
   return a->shard != b->shard ? a->shard < b->shard : a->chunk < b->chunk;
 }
 
-/* The chunk to which the machine belongs, of all that are known. */
+/* Searches all chunks for the one to which the machine belongs. Returns FALSE if none holds it. */
 static gboolean
-find_entry (const KrMachineRecords *records, const char *id, KrMachineRecord *best)
+find_record (const KrMachineRecords *records, const char *id, KrMachineRecord *best)
 {
   gboolean any = FALSE;
-  for (guint p = 0; p < records->settings->shard_count; p++)
-    for (guint k = 0; k < records->shards[p]->len; k++) {
-      const char *address = entry (records, p, k, id);
+  for (guint shard = 0; shard < records->settings->shard_count; shard++)
+    for (guint chunk = 0; chunk < records->shards[shard]->len; chunk++) {
+      const char *address = find_in_chunk (records, shard, chunk, id);
       if (!address)
         continue;
-      KrMachineRecord found = { p, k, address, known_chunk (records, p, k)->revision };
-      if (!any || goes_before (&found, best))
+      KrMachineRecord found = { shard, chunk, address,
+                                known_chunk (records, shard, chunk)->revision };
+      if (!any || takes_precedence (&found, best))
         *best = found;
       any = TRUE;
     }
   return any;
 }
 
-/* The machine stands in a chunk, which is known as that already. */
+/* Updates the index for a machine that a chunk holds; the chunk itself is already updated. */
 static void
-note_entry (KrMachineRecords *records, const char *id, const KrMachineRecord *found)
+apply_entry (KrMachineRecords *records, const char *id, const KrMachineRecord *found)
 {
-  KrMachineRecord *member = g_hash_table_lookup (records->index, id);
-  if (!member) {
+  KrMachineRecord *record = g_hash_table_lookup (records->index, id);
+  if (!record) {
     g_hash_table_insert (records->index, g_strdup (id), g_memdup2 (found, sizeof *found));
     return;
   }
-  gboolean same = member->shard == found->shard && member->chunk == found->chunk;
-  if (same && *member->address && !*found->address) /* it may have been the one for that only */
-    find_entry (records, id, member);
-  else if (same || goes_before (found, member))
-    *member = *found;
+  gboolean same = record->shard == found->shard && record->chunk == found->chunk;
+  if (same && *record->address &&
+      !*found->address) /* it may have had precedence only because it was used */
+    find_record (records, id, record);
+  else if (same || takes_precedence (found, record))
+    *record = *found;
 }
 
-/* The machine stands no more in the chunk to which it belonged. TRUE: but in another one. */
+/* Updates the index for a machine that was removed from the chunk to which it belonged. Returns
+ * TRUE and sets `other` if another chunk holds it. */
 static gboolean
-note_gone (KrMachineRecords *records, const char *id, KrMachineRecord *now_in)
+apply_removal (KrMachineRecords *records, const char *id, KrMachineRecord *other)
 {
-  if (find_entry (records, id, now_in)) {
-    *(KrMachineRecord *) g_hash_table_lookup (records->index, id) = *now_in;
+  if (find_record (records, id, other)) {
+    *(KrMachineRecord *) g_hash_table_lookup (records->index, id) = *other;
     return TRUE;
   }
   records->events.removed (id, records->data);
@@ -141,48 +145,51 @@
   return FALSE;
 }
 
+/* Replaces the known contents of a chunk, if `revision` is newer, and reports the changes. */
 static void
-note (KrMachineRecords *records, guint shard, guint chunk, json_t *machines, guint64 revision)
+apply_chunk (KrMachineRecords *records, guint shard, guint chunk, json_t *machines,
+             guint64 revision)
 {
-  g_autofree gboolean *joined = g_new0 (gboolean, records->settings->shard_count);
+  g_autofree gboolean *shard_gained = g_new0 (gboolean, records->settings->shard_count);
   const char *id;
   json_t *o;
 
   if (chunk >= records->shards[shard]->len)
     g_array_set_size (records->shards[shard], chunk + 1);
-  Chunk *c = &g_array_index (records->shards[shard], Chunk, chunk);
-  if (revision <= c->revision)
+  Chunk *known = &g_array_index (records->shards[shard], Chunk, chunk);
+  if (revision <= known->revision)
     return;
-  json_t *before = c->machines;
-  c->machines = json_incref (machines);
-  c->revision = revision;
+  json_t *old_machines = known->machines;
+  known->machines = json_incref (machines);
+  known->revision = revision;
   json_object_foreach (machines, id, o)
   {
     const KrMachineRecord found = { shard, chunk,
                                     json_string_value (o) ? json_string_value (o) : "", revision };
-    note_entry (records, id, &found);
+    apply_entry (records, id, &found);
   }
-  /* After the additions: a machine that moved was noted at its new place, or will be. */
-  json_object_foreach (before, id, o)
+  /* Removals follow the additions: the new entry of a machine that was moved has been applied by
+   * now, or will be. */
+  json_object_foreach (old_machines, id, o)
   {
-    const KrMachineRecord *member =
+    const KrMachineRecord *record =
         json_object_get (machines, id) ? NULL : kr_machine_records_find (records, id);
-    KrMachineRecord now_in;
-    if (member && member->shard == shard && member->chunk == chunk &&
-        note_gone (records, id, &now_in))
-      joined[now_in.shard] = TRUE;
+    KrMachineRecord other;
+    if (record && record->shard == shard && record->chunk == chunk &&
+        apply_removal (records, id, &other))
+      shard_gained[other.shard] = TRUE;
   }
-  json_decref (before);
-  for (guint p = 0; p < records->settings->shard_count; p++)
-    if (p == shard || joined[p])
-      records->events.changed (p, records->data);
+  json_decref (old_machines);
+  for (guint other_shard = 0; other_shard < records->settings->shard_count; other_shard++)
+    if (other_shard == shard || shard_gained[other_shard])
+      records->events.changed (other_shard, records->data);
 }
 
 gboolean
-kr_machine_records_changed_since (KrMachineRecords *records, const KrChunkVersion *mark)
+kr_machine_records_changed_since (KrMachineRecords *records, const KrChunkVersion *version)
 {
-  const Chunk *known = known_chunk (records, mark->shard, mark->chunk);
-  return known && known->revision > mark->revision;
+  const Chunk *known = known_chunk (records, version->shard, version->chunk);
+  return known && known->revision > version->revision;
 }
 
 void
@@ -193,17 +200,17 @@
       shard >= records->settings->shard_count || chunk >= KR_RECORD_CHUNKS_MAX)
     return;
   if (json_is_object (item->value)) {
-    note (records, shard, chunk, item->value, item->revision);
+    apply_chunk (records, shard, chunk, item->value, item->revision);
     return;
   }
-  /* Guards against a value that is none of ours: all its machines would count as gone. What was
-   * known stays, under the new revision, so that the next write of the chunk puts it right. */
-  kr_info ("state: %s is malformed, left as it was known", item->key);
+  /* Guards against a malformed value: all machines of the chunk would count as removed. The known
+   * contents are kept under the new revision, so that the next write of the chunk repairs it. */
+  kr_info ("state: %s is malformed, keeping its last known contents", item->key);
   json_t *known = chunk < records->shards[shard]->len
                       ? g_array_index (records->shards[shard], Chunk, chunk).machines
                       : NULL;
   json_t *machines = known ? json_incref (known) : json_object ();
-  note (records, shard, chunk, machines, item->revision);
+  apply_chunk (records, shard, chunk, machines, item->revision);
   json_decref (machines);
 }
 
@@ -214,187 +221,191 @@
 }
 
 void
-kr_machine_records_foreach_all (KrMachineRecords *records, KrMachineRecordFunc walk, gpointer data)
+kr_machine_records_foreach_all (KrMachineRecords *records, KrMachineRecordFunc func, gpointer data)
 {
   GHashTableIter it;
   gpointer id, value;
   g_hash_table_iter_init (&it, records->index);
   while (g_hash_table_iter_next (&it, &id, &value))
-    walk (id, value, data);
+    func (id, value, data);
 }
 
 void
-kr_machine_records_foreach (KrMachineRecords *records, guint shard, KrMachineRecordFunc walk,
+kr_machine_records_foreach (KrMachineRecords *records, guint shard, KrMachineRecordFunc func,
                             gpointer data)
 {
-  for (guint k = 0; k < records->shards[shard]->len; k++) {
+  for (guint chunk = 0; chunk < records->shards[shard]->len; chunk++) {
     const char *id;
     json_t *o;
-    json_object_foreach (g_array_index (records->shards[shard], Chunk, k).machines, id, o)
+    json_object_foreach (g_array_index (records->shards[shard], Chunk, chunk).machines, id, o)
     {
-      const KrMachineRecord *member = kr_machine_records_find (records, id);
-      if (member && member->shard == shard)
-        walk (id, member, data);
+      const KrMachineRecord *record = kr_machine_records_find (records, id);
+      if (record && record->shard == shard)
+        func (id, record, data);
     }
   }
 }
 
 void
 kr_machine_records_foreach_duplicate (KrMachineRecords *records, guint shard,
-                                      KrMachineRecordFunc walk, gpointer data)
+                                      KrMachineRecordFunc func, gpointer data)
 {
-  for (guint k = 0; k < records->shards[shard]->len; k++) {
+  for (guint chunk = 0; chunk < records->shards[shard]->len; chunk++) {
     const char *id;
     json_t *o;
-    json_object_foreach (g_array_index (records->shards[shard], Chunk, k).machines, id, o)
+    json_object_foreach (g_array_index (records->shards[shard], Chunk, chunk).machines, id, o)
     {
-      const KrMachineRecord *member = kr_machine_records_find (records, id);
-      if (member && (member->shard != shard || member->chunk != k))
-        walk (id, member, data);
+      const KrMachineRecord *record = kr_machine_records_find (records, id);
+      if (record && (record->shard != shard || record->chunk != chunk))
+        func (id, record, data);
     }
   }
 }
 
-/* --- drafts -------------------------------------------------------------------------- */
+/* --- updates ------------------------------------------------------------------------- */
 static void
-change_clear (gpointer p)
+change_clear (gpointer change)
 {
-  json_decref (((Change *) p)->machines);
+  json_decref (((ChunkChange *) change)->machines);
 }
 
 KrRecordUpdate *
 kr_record_update_new (KrMachineRecords *records)
 {
-  KrRecordUpdate *draft = g_new (KrRecordUpdate, 1);
-  *draft = (KrRecordUpdate){ records, g_array_new (FALSE, FALSE, sizeof (Change)) };
-  g_array_set_clear_func (draft->changes, change_clear);
-  return draft;
+  KrRecordUpdate *update = g_new (KrRecordUpdate, 1);
+  *update = (KrRecordUpdate){ records, g_array_new (FALSE, FALSE, sizeof (ChunkChange)) };
+  g_array_set_clear_func (update->changes, change_clear);
+  return update;
 }
 
 void
-kr_record_update_free (KrRecordUpdate *draft)
+kr_record_update_free (KrRecordUpdate *update)
 {
-  g_array_unref (draft->changes);
-  g_free (draft);
+  g_array_unref (update->changes);
+  g_free (update);
 }
 
-/* A chunk as the draft would make it; NULL: untouched. */
+/* Returns the machines of a chunk as changed by the update; NULL if the update leaves it unchanged.
+ */
 static json_t *
-drafted (const KrRecordUpdate *draft, guint shard, guint chunk)
+updated_machines (const KrRecordUpdate *update, guint shard, guint chunk)
 {
-  for (guint i = 0; i < draft->changes->len; i++) {
-    const Change *c = &g_array_index (draft->changes, Change, i);
-    if (c->shard == shard && c->chunk == chunk)
-      return c->machines;
+  for (guint i = 0; i < update->changes->len; i++) {
+    const ChunkChange *change = &g_array_index (update->changes, ChunkChange, i);
+    if (change->shard == shard && change->chunk == chunk)
+      return change->machines;
   }
   return NULL;
 }
 
+/* Returns the machines of a chunk for the update to change, and adds the chunk to the update. */
 static json_t *
-changed (KrRecordUpdate *draft, guint shard, guint chunk)
+machines_to_update (KrRecordUpdate *update, guint shard, guint chunk)
 {
-  json_t *machines = drafted (draft, shard, chunk);
+  json_t *machines = updated_machines (update, shard, chunk);
   if (machines)
     return machines;
-  const Chunk *old = known_chunk (draft->records, shard, chunk);
-  /* Shallow: entries are never changed in place. */
-  Change c = { shard, chunk, old && old->machines ? json_copy (old->machines) : json_object (),
-               old ? old->revision : 0 };
-  g_array_append_val (draft->changes, c);
-  return c.machines;
+  const Chunk *old = known_chunk (update->records, shard, chunk);
+  /* A shallow copy will do, since entries are never changed in place. */
+  ChunkChange change = { shard, chunk,
+                         old && old->machines ? json_copy (old->machines) : json_object (),
+                         old ? old->revision : 0 };
+  g_array_append_val (update->changes, change);
+  return change.machines;
 }
 
-/* Entries of a chunk as it would be. */
+/* Returns the number of machines in a chunk once the update is applied. */
 static guint
-filled (const KrRecordUpdate *draft, guint shard, guint chunk)
+updated_size (const KrRecordUpdate *update, guint shard, guint chunk)
 {
-  const json_t *machines = drafted (draft, shard, chunk);
-  const Chunk *old = known_chunk (draft->records, shard, chunk);
+  const json_t *machines = updated_machines (update, shard, chunk);
+  const Chunk *old = known_chunk (update->records, shard, chunk);
   return (guint) json_object_size (machines ? machines : old ? old->machines : NULL);
 }
 
 void
-kr_record_update_add (KrRecordUpdate *draft, guint shard, const char *machine, const char *address)
+kr_record_update_add (KrRecordUpdate *update, guint shard, const char *machine, const char *address)
 {
   guint chunk = 0;
-  while (filled (draft, shard, chunk) >= draft->records->room)
+  while (updated_size (update, shard, chunk) >= update->records->chunk_capacity)
     chunk++;
-  json_object_set_new (changed (draft, shard, chunk), machine, json_string (address));
+  json_object_set_new (machines_to_update (update, shard, chunk), machine, json_string (address));
 }
 
 void
-kr_record_update_set (KrRecordUpdate *draft, const char *machine, const char *address)
+kr_record_update_set (KrRecordUpdate *update, const char *machine, const char *address)
 {
-  const KrMachineRecord *member = kr_machine_records_find (draft->records, machine);
-  if (member)
-    json_object_set_new (changed (draft, member->shard, member->chunk), machine,
+  const KrMachineRecord *record = kr_machine_records_find (update->records, machine);
+  if (record)
+    json_object_set_new (machines_to_update (update, record->shard, record->chunk), machine,
                          json_string (address));
 }
 
 void
-kr_record_update_remove (KrRecordUpdate *draft, const char *machine)
+kr_record_update_remove (KrRecordUpdate *update, const char *machine)
 {
-  const KrMachineRecord *member = kr_machine_records_find (draft->records, machine);
-  if (member)
-    json_object_del (changed (draft, member->shard, member->chunk), machine);
+  const KrMachineRecord *record = kr_machine_records_find (update->records, machine);
+  if (record)
+    json_object_del (machines_to_update (update, record->shard, record->chunk), machine);
 }
 
 void
-kr_record_update_touch (KrRecordUpdate *draft, const char *machine)
+kr_record_update_touch (KrRecordUpdate *update, const char *machine)
 {
-  const KrMachineRecord *member = kr_machine_records_find (draft->records, machine);
-  if (member)
-    changed (draft, member->shard, member->chunk);
+  const KrMachineRecord *record = kr_machine_records_find (update->records, machine);
+  if (record)
+    machines_to_update (update, record->shard, record->chunk);
 }
 
 void
-kr_record_update_touch_chunk (KrRecordUpdate *draft, const KrChunkVersion *mark)
+kr_record_update_touch_chunk (KrRecordUpdate *update, const KrChunkVersion *version)
 {
-  changed (draft, mark->shard, mark->chunk);
+  machines_to_update (update, version->shard, version->chunk);
 }
 
 void
-kr_record_update_remove_duplicates (KrRecordUpdate *draft, guint shard, const char *machine)
+kr_record_update_remove_duplicates (KrRecordUpdate *update, guint shard, const char *machine)
 {
-  const KrMachineRecord *member = kr_machine_records_find (draft->records, machine);
-  for (guint k = 0; member && k < draft->records->shards[shard]->len; k++)
-    if (entry (draft->records, shard, k, machine) && (member->shard != shard || member->chunk != k))
-      json_object_del (changed (draft, shard, k), machine);
-  kr_record_update_touch (draft, machine);
+  const KrMachineRecord *record = kr_machine_records_find (update->records, machine);
+  for (guint chunk = 0; record && chunk < update->records->shards[shard]->len; chunk++)
+    if (find_in_chunk (update->records, shard, chunk, machine) &&
+        (record->shard != shard || record->chunk != chunk))
+      json_object_del (machines_to_update (update, shard, chunk), machine);
+  kr_record_update_touch (update, machine);
 }
 
 gboolean
-kr_record_update_chunk_version (const KrRecordUpdate *draft, KrChunkVersion *mark)
+kr_record_update_chunk_version (const KrRecordUpdate *update, KrChunkVersion *version)
 {
-  if (!draft->changes->len)
+  if (!update->changes->len)
     return FALSE;
-  const Change *first = &g_array_index (draft->changes, Change, 0);
-  *mark = (KrChunkVersion){ first->shard, first->chunk, first->revision };
+  const ChunkChange *first = &g_array_index (update->changes, ChunkChange, 0);
+  *version = (KrChunkVersion){ first->shard, first->chunk, first->revision };
   return TRUE;
 }
 
 guint
-kr_record_update_ops (const KrRecordUpdate *draft)
+kr_record_update_ops (const KrRecordUpdate *update)
 {
-  return draft->changes->len;
+  return update->changes->len;
 }
 
 void
-kr_record_update_add_to_txn (const KrRecordUpdate *draft, KrTxn *txn)
+kr_record_update_add_to_txn (const KrRecordUpdate *update, KrTxn *txn)
 {
-  for (guint i = 0; i < draft->changes->len; i++) {
-    const Change *c = &g_array_index (draft->changes, Change, i);
-    g_autofree char *key = g_strdup_printf (PREFIX "%u/%u", c->shard, c->chunk);
-    kr_txn_expect_revision (txn, key, c->revision);
-    kr_txn_put (txn, key, json_incref (c->machines), 0);
+  for (guint i = 0; i < update->changes->len; i++) {
+    const ChunkChange *change = &g_array_index (update->changes, ChunkChange, i);
+    g_autofree char *key = g_strdup_printf (PREFIX "%u/%u", change->shard, change->chunk);
+    kr_txn_expect_revision (txn, key, change->revision);
+    kr_txn_put (txn, key, json_incref (change->machines), 0);
   }
 }
 
 void
-kr_record_update_committed (const KrRecordUpdate *draft, guint64 revision)
+kr_record_update_committed (const KrRecordUpdate *update, guint64 revision)
 {
-  for (guint i = 0; i < draft->changes->len; i++) {
-    const Change *c = &g_array_index (draft->changes, Change, i);
-    note (draft->records, c->shard, c->chunk, c->machines, revision);
+  for (guint i = 0; i < update->changes->len; i++) {
+    const ChunkChange *change = &g_array_index (update->changes, ChunkChange, i);
+    apply_chunk (update->records, change->shard, change->chunk, change->machines, revision);
   }
 }
