--- a/src/clock.c
+++ b/src/clock.c
@@ -32,11 +32,12 @@
   *id = 0;
 }
 
-/* --- standing still ------------------------------------------------------------------ */
+/* --- stall detector ------------------------------------------------------------------ */
 typedef struct {
   GSource source;
-  gint64 limit, last;
-} Stall;
+  gint64 limit_us;
+  gint64 last_check; /* monotonic us */
+} StallSource;
 
 static gboolean
 stall_prepare (GSource *source, gint *timeout_ms)
@@ -45,15 +46,15 @@
   return FALSE;
 }
 
-/* Each turn of the main loop comes by here before it dispatches anything. */
+/* Called in each iteration of the main loop before any source is dispatched. */
 static gboolean
 stall_check (GSource *source)
 {
-  Stall *s = (Stall *) source;
+  StallSource *stall = (StallSource *) source;
   gint64 now = kr_now ();
-  gboolean stood = now - s->last > s->limit;
-  s->last = now;
-  return stood;
+  gboolean stalled = now - stall->last_check > stall->limit_us;
+  stall->last_check = now;
+  return stalled;
 }
 
 static gboolean
@@ -67,11 +68,11 @@
 kr_stall_detector_add (guint ms, GSourceFunc func, gpointer data)
 {
   static GSourceFuncs funcs = { stall_prepare, stall_check, stall_dispatch, NULL, NULL, NULL };
-  Stall *s = (Stall *) g_source_new (&funcs, sizeof *s);
-  s->limit = (gint64) ms * 1000;
-  s->last = kr_now ();
-  g_source_set_priority (&s->source, G_PRIORITY_HIGH);
-  g_source_set_callback (&s->source, func, data, NULL);
-  g_source_attach (&s->source, NULL);
-  g_source_unref (&s->source);
+  StallSource *stall = (StallSource *) g_source_new (&funcs, sizeof *stall);
+  stall->limit_us = (gint64) ms * 1000;
+  stall->last_check = kr_now ();
+  g_source_set_priority (&stall->source, G_PRIORITY_HIGH);
+  g_source_set_callback (&stall->source, func, data, NULL);
+  g_source_attach (&stall->source, NULL);
+  g_source_unref (&stall->source);
 }
--- a/src/clock.h
+++ b/src/clock.h
@@ -1,13 +1,16 @@
-/* Time and timers in one place, so that tests can run whole nodes in simulated time. */
+/* Time and timers. All code uses these functions, so that tests can run whole nodes in simulated
+ * time. */
 #pragma once
 #include <glib.h>
 
-gint64 kr_now (void);          /* us, steady */
+gint64 kr_now (void);          /* monotonic time in us */
 double kr_wall_clock_s (void); /* s since the epoch */
-/* As g_timeout_add, and its end. */
+/* As g_timeout_add() and g_source_remove(). */
 guint kr_timer_add (guint ms, GSourceFunc func, gpointer data);
 void kr_timer_remove (guint id);
-void kr_timer_clear (guint *id); /* removes it if set, and unsets it */
-/* Calls `func` when the process has stood still for longer than that, before anything else that
- * came up meanwhile is handled. */
+/* Removes the timer unless *id is 0, and sets *id to 0. */
+void kr_timer_clear (guint *id);
+/* Calls `func` whenever two iterations of the main loop are more than `ms` apart, e.g. because the
+ * process was stopped; other timers must wake the loop more often than that. `func` is called
+ * before any event that became due meanwhile is handled. Its return value is ignored. */
 void kr_stall_detector_add (guint ms, GSourceFunc func, gpointer data);
