--- a/src/log.h
+++ b/src/log.h
@@ -1,9 +1,9 @@
-/* Logging to standard error through GLib's structured logging; LOG_LEVEL is error, info or debug.
- */
+/* Logging to standard error through GLib's structured logging. */
 #pragma once
 #include <glib.h>
 
-/* Installs the writer. FALSE with an error if LOG_LEVEL holds an unknown word. */
+/* Installs the log writer. level: the value of LOG_LEVEL: error, info or debug; NULL or "" means
+ * info. Returns FALSE and sets `error` for any other value. */
 gboolean kr_log_init (const char *level, GError **error);
 gboolean kr_log_debug_enabled (void);
 
