--- a/src/invariant.c
+++ b/src/invariant.c
@@ -1,22 +1,22 @@
 #include "invariant.h"
 
-static guint counts[KR_N_INVARIANTS];
+static guint violations[KR_N_INVARIANTS];
 
 static const char *const names[] = { [KR_INVARIANT_ONE_RECORD] = "one-record",
                                      [KR_INVARIANT_RECORD_KEPT] = "record-kept",
-                                     [KR_INVARIANT_ONE_ATTEMPT] = "one-launch",
+                                     [KR_INVARIANT_ONE_ATTEMPT] = "one-attempt",
                                      [KR_INVARIANT_MACHINE_READY] = "machine-ready",
-                                     [KR_INVARIANT_JOB_NOT_ENDED] = "ended" };
+                                     [KR_INVARIANT_JOB_NOT_ENDED] = "job-not-ended" };
 
 void
 kr_invariant_violated (KrInvariant which, const char *format, ...)
 {
   va_list args;
   va_start (args, format);
-  g_autofree char *judged = g_strdup_vprintf (format, args);
+  g_autofree char *details = g_strdup_vprintf (format, args);
   va_end (args);
-  counts[which]++;
-  g_critical ("invariant %s does not hold (%u): %s", names[which], counts[which], judged);
+  violations[which]++;
+  g_critical ("invariant %s does not hold (%u): %s", names[which], violations[which], details);
 }
 
 guint
@@ -24,6 +24,6 @@
 {
   guint sum = 0;
   for (guint i = 0; i < KR_N_INVARIANTS; i++)
-    sum += counts[i];
+    sum += violations[i];
   return sum;
 }
--- a/src/invariant.h
+++ b/src/invariant.h
@@ -1,20 +1,20 @@
-/* Invariants that keep the rules of the protocol, asserted where an action leaves the process. One
- * that does not hold is logged at `error` with what it was judged on, and counted; the action is
- * refused by the caller. Tests abort there, since GLib's test framework makes such messages fatal.
- */
+/* Invariants of the protocol, checked before an action leaves the process, e.g. as an order. A
+ * violation is logged at level `error` with the values on which the verdict is based, and counted;
+ * the caller refuses the action. Tests abort on a violation, since GLib's test framework makes such
+ * messages fatal. */
 #pragma once
 #include <glib.h>
 
 typedef enum {
-  KR_INVARIANT_ONE_RECORD,    /* a machine stands in one part's record at most */
-  KR_INVARIANT_RECORD_KEPT,   /* a machine with tasks does not leave its part's record */
-  KR_INVARIANT_ONE_ATTEMPT,   /* of a task, one launch at most may be on a machine */
-  KR_INVARIANT_MACHINE_READY, /* a task starts only where it may */
-  KR_INVARIANT_JOB_NOT_ENDED, /* nothing of a job that has ended starts */
+  KR_INVARIANT_ONE_RECORD,    /* a machine is in the records of at most one shard */
+  KR_INVARIANT_RECORD_KEPT,   /* a machine with tasks is not removed from its shard's record */
+  KR_INVARIANT_ONE_ATTEMPT,   /* at most one attempt of a task may be on a machine */
+  KR_INVARIANT_MACHINE_READY, /* a task is started only on a machine that is ready for tasks */
+  KR_INVARIANT_JOB_NOT_ENDED, /* no task of a job that has ended is started */
   KR_N_INVARIANTS
 } KrInvariant;
 
-/* Notes that `which` does not hold; `format`: what that was judged on. */
+/* Logs and counts a violation of `which`; `format`: the values on which the verdict is based. */
 void kr_invariant_violated (KrInvariant which, const char *format, ...) G_GNUC_PRINTF (2, 3);
-/* How often one did not hold since the process began. */
+/* Returns the number of violations since the process started. */
 guint kr_invariant_violations (void);
