--- a/src/main.c
+++ b/src/main.c
@@ -1,4 +1,4 @@
-/* keelrouter: the program on top of libkeelrouter. */
+/* The keelrouter program: reads the command line and the settings file, then runs one node. */
 #include "log.h"
 #include "node.h"
 #include "settings.h"
@@ -19,8 +19,9 @@
   g_autoptr (GError) error = NULL;
   g_autoptr (GOptionContext) options = g_option_context_new ("- a cluster scheduler's controller");
 
-  /* No proxy look-ups, no VFS or TLS modules: the program speaks plain HTTP to numbered addresses,
-   * and loading them would cost start-up time and memory on very small machines. */
+  /* Disables GIO's proxy resolver, VFS and loadable modules such as TLS. The program only speaks
+   * plain HTTP to numeric addresses, and loading them would cost start-up time and memory on very
+   * small machines. */
   g_setenv ("GIO_USE_VFS", "local", TRUE);
   g_setenv ("GIO_USE_PROXY_RESOLVER", "dummy", TRUE);
   g_setenv ("GIO_USE_NETWORK_MONITOR", "base", TRUE);
