--- a/src/machine-records.c
+++ b/src/machine-records.c
@@ -124,8 +124,8 @@
     return;
   }
   gboolean same = record->shard == found->shard && record->chunk == found->chunk;
-  if (same && *record->address &&
-      !*found->address) /* it may have had precedence only because it was used */
+  /* The chunk may have had precedence over another one only because the machine was used there. */
+  if (same && *record->address && !*found->address)
     find_record (records, id, record);
   else if (same || takes_precedence (found, record))
     *record = *found;
@@ -285,8 +285,7 @@
   g_free (update);
 }
 
-/* Returns the machines of a chunk as changed by the update; NULL if the update leaves it unchanged.
- */
+/* Returns a chunk's machines as changed by the update; NULL if the chunk is not in the update. */
 static json_t *
 updated_machines (const KrRecordUpdate *update, guint shard, guint chunk)
 {
