--- a/src/node.c
+++ b/src/node.c
@@ -24,34 +24,40 @@
   return MAX (KR_FENCE_PARALLEL_MIN, (guint) (settings->sockets * KR_WORKER_SOCKET_SHARE));
 }
 
-/* --- shares of the budgets ------------------------------------------------------------ */
-/* Parts up to the number of teams have work. */
+/* --- shares of the rate limits -------------------------------------------------------- */
+/* Returns the number of shards that have jobs. Teams are assigned to shards in turn, so with fewer
+ * teams than shards only the first shards have a team. */
 static guint
-busy_parts (const KrNode *node)
+shards_with_teams (const KrNode *node)
 {
   return MIN (node->settings->teams->len, node->settings->shard_count);
 }
 
 static gboolean
-holds (const KrHolder *holder, const char *name)
+is_held_by (const KrHolder *holder, const char *name)
 {
   return holder->node && g_str_equal (holder->node, name);
 }
 
-/* A node's share of a limit that holds for all, by the keys that it has as far as we know. */
+/* Returns the share (0 to 1) of the node `name` in a limit for all nodes together. The share
+ * depends on the keys that the node holds, as far as this node knows. */
 static double
-share_of (KrNode *own_node, const char *name, double node, double shard, double lead)
+weighted_share (KrNode *node, const char *name, double node_weight, double shard_weight,
+                double leader_weight)
 {
-  double own = node + (holds (kr_membership_leader (own_node->membership), name) ? lead : 0);
-  for (guint p = 0; p < busy_parts (own_node); p++)
-    own += holds (kr_membership_holder (own_node->membership, p), name) ? shard : 0;
-  return own / (own_node->settings->shard_count * node + busy_parts (own_node) * shard + lead);
+  double weight = node_weight +
+                  (is_held_by (kr_membership_leader (node->membership), name) ? leader_weight : 0);
+  for (guint shard = 0; shard < shards_with_teams (node); shard++)
+    weight += is_held_by (kr_membership_holder (node->membership, shard), name) ? shard_weight : 0;
+  return weight / (node->settings->shard_count * node_weight +
+                   shards_with_teams (node) * shard_weight + leader_weight);
 }
 
 static double
 state_share (KrNode *node, const char *name)
 {
-  return share_of (node, name, KR_STATE_WEIGHT_NODE, KR_STATE_WEIGHT_SHARD, KR_STATE_WEIGHT_LEADER);
+  return weighted_share (node, name, KR_STATE_WEIGHT_NODE, KR_STATE_WEIGHT_SHARD,
+                         KR_STATE_WEIGHT_LEADER);
 }
 
 double
@@ -64,60 +70,61 @@
 kr_node_queued_writes (KrNode *node)
 {
   double waiting = kr_state_queued_writes (node->state_client);
-  for (guint p = 0; p < node->settings->shard_count; p++)
-    waiting += node->shards[p] ? kr_shard_pending_end_writes (node->shards[p]) : 0;
+  for (guint shard = 0; shard < node->settings->shard_count; shard++)
+    waiting += node->shards[shard] ? kr_shard_pending_end_writes (node->shards[shard]) : 0;
   return waiting;
 }
 
-/* The limits are of all nodes together. What is weighed by a key (a part, the lead) is used by its
- * holder only; where a holder does not know yet that it lost the key, the sum is passed for as long
- * as it takes to hear of it, and the service's 429 settles that. */
+/* The configured limits are for all nodes together. The share that goes with a shard or with the
+ * leadership is used by the key's holder only. While a former holder does not know yet that it lost
+ * the key, the sum of all shares exceeds the limit; the service then refuses calls with 429. */
 static void
-set_shares (KrNode *node)
+update_rate_limits (KrNode *node)
 {
-  const char *own = node->settings->node_name;
-  double writes = kr_now () < node->allotment_expires_at ? node->allotted_write_rate
-                                                         : kr_node_base_write_rate (node, own);
-  kr_state_set_rates (node->state_client, state_share (node, own) * node->settings->state_rps,
-                      writes);
-  kr_cloud_set_rate_share (
-      node->cloud_client,
-      share_of (node, own, KR_CLOUD_WEIGHT_NODE, KR_CLOUD_WEIGHT_SHARD, KR_CLOUD_WEIGHT_LEADER));
+  const char *name = node->settings->node_name;
+  double writes_per_s = kr_now () < node->allotment_expires_at
+                            ? node->allotted_write_rate
+                            : kr_node_base_write_rate (node, name);
+  kr_state_set_rates (node->state_client, state_share (node, name) * node->settings->state_rps,
+                      writes_per_s);
+  kr_cloud_set_rate_share (node->cloud_client,
+                           weighted_share (node, name, KR_CLOUD_WEIGHT_NODE, KR_CLOUD_WEIGHT_SHARD,
+                                           KR_CLOUD_WEIGHT_LEADER));
 }
 
 void
-kr_node_set_write_rate (KrNode *node, double writes)
+kr_node_set_write_rate (KrNode *node, double writes_per_s)
 {
-  node->allotted_write_rate = writes;
+  node->allotted_write_rate = writes_per_s;
   node->allotment_expires_at = kr_now () + (gint64) (KR_BUDGET_VALID_S * G_USEC_PER_SEC);
-  set_shares (node);
+  update_rate_limits (node);
 }
 
-/* --- membership's events ------------------------------------------------------------- */
+/* --- events of the membership, the machine records and the job watch ----------------- */
 static void
 holder_changed (guint shard, gpointer data)
 {
   KrNode *node = data;
   const KrHolder *holder = kr_membership_holder (node->membership, shard);
-  KrShard *p = node->shards[shard];
-  gboolean ours = kr_membership_owns (node->membership, shard), any = FALSE;
+  KrShard *current = node->shards[shard];
+  gboolean owned = kr_membership_owns (node->membership, shard), any = FALSE;
 
-  if (p && ours && holder->replaced_revision == kr_shard_token (p)) {
-    kr_shard_set_token (p, holder->revision);
+  if (current && owned && holder->replaced_revision == kr_shard_token (current)) {
+    kr_shard_set_token (current, holder->revision);
     return;
   }
-  if (p)
-    kr_shard_close (p);
-  node->shards[shard] = ours ? kr_shard_new (node, shard, holder->revision) : NULL;
+  if (current)
+    kr_shard_close (current);
+  node->shards[shard] = owned ? kr_shard_new (node, shard, holder->revision) : NULL;
   for (guint i = 0; i < node->settings->shard_count; i++)
     any |= node->shards[i] != NULL;
   if (!any)
     kr_watch_stop (node->job_watch);
-  set_shares (node);
+  update_rate_limits (node);
 }
 
 static void
-record_changed (guint shard, gpointer data)
+records_changed (guint shard, gpointer data)
 {
   KrNode *node = data;
   if (node->shards[shard])
@@ -125,7 +132,7 @@
 }
 
 static void
-machine_left (const char *machine, gpointer data)
+machine_removed (const char *machine, gpointer data)
 {
   KrNode *node = data;
   if (node->provisioner)
@@ -133,86 +140,88 @@
 }
 
 static void
-needs_told (guint shard, json_t *value, gpointer data)
+summary_stored (guint shard, json_t *value, gpointer data)
 {
   KrNode *node = data;
   kr_provisioner_note_summary (node->provisioner, shard, value);
 }
 
 static void
-scanned (gpointer data)
+membership_relisted (gpointer data)
 {
   KrNode *node = data;
   kr_provisioner_records_relisted (node->provisioner);
-  for (guint p = 0; p < node->settings->shard_count; p++)
-    if (node->shards[p])
-      kr_shard_membership_relisted (node->shards[p]);
+  for (guint shard = 0; shard < node->settings->shard_count; shard++)
+    if (node->shards[shard])
+      kr_shard_membership_relisted (node->shards[shard]);
 }
 
 static void
-jobs_scanned (json_t *items, guint64 revision, gpointer data)
+jobs_listed (json_t *items, guint64 revision, gpointer data)
 {
   KrNode *node = data;
-  for (guint p = 0; p < node->settings->shard_count; p++)
-    if (node->shards[p])
-      kr_shard_jobs_listed (node->shards[p], items);
+  for (guint shard = 0; shard < node->settings->shard_count; shard++)
+    if (node->shards[shard])
+      kr_shard_jobs_listed (node->shards[shard], items);
 }
 
 static void
 job_event (const KrKeyValue *item, gpointer data)
 {
   KrNode *node = data;
-  for (guint p = 0; p < node->settings->shard_count; p++)
-    if (node->shards[p])
-      kr_shard_job_event (node->shards[p], item);
+  for (guint shard = 0; shard < node->settings->shard_count; shard++)
+    if (node->shards[shard])
+      kr_shard_job_event (node->shards[shard], item);
 }
 
 /* --- requests ------------------------------------------------------------------------ */
 static void
-beat (KrNode *node, KrRequest *request)
+handle_report (KrNode *node, KrRequest *request)
 {
-  g_autoptr (KrReport) r =
+  g_autoptr (KrReport) report =
       kr_request_json (request) ? kr_wire_report_parse (kr_request_json (request)) : NULL;
-  if (!r) {
-    kr_request_reply (request, 400, kr_wire_error ("not a report"), 0);
+  if (!report) {
+    kr_request_reply (request, 400, kr_wire_error ("the body is not a valid report"), 0);
     return;
   }
-  const KrMachineRecord *member = kr_machine_records_find (node->machine_records, r->machine);
-  gint shard = member ? (gint) member->shard : -1;
+  const KrMachineRecord *record = kr_machine_records_find (node->machine_records, report->machine);
+  gint shard = record ? (gint) record->shard : -1;
   if (shard >= 0 && node->shards[shard]) {
-    kr_shard_handle_report (node->shards[shard], request, r);
+    kr_shard_handle_report (node->shards[shard], request, report);
     return;
   }
   const KrHolder *holder = shard >= 0 ? kr_membership_holder (node->membership, (guint) shard)
                                       : kr_membership_leader (node->membership);
-  gboolean self = holder->node && g_str_equal (holder->node, node->settings->node_name);
-  if (shard < 0 && self)
-    kr_provisioner_unassigned_reported (node->provisioner, r);
-  /* Without the state service while others have it, what we knew may be over: a worker would go to
-   * and fro between us and an owner that is gone. */
-  gboolean telling = !self && !node->state_unreachable;
-  kr_request_reply (request, 421, kr_wire_redirect (telling ? holder->node : NULL), 0);
+  gboolean held_by_this_node =
+      holder->node && g_str_equal (holder->node, node->settings->node_name);
+  if (shard < 0 && held_by_this_node)
+    kr_provisioner_unassigned_reported (node->provisioner, report);
+  /* While only this node cannot reach the state service, its knowledge of the owner may be
+   * outdated. Redirected by it, a worker would go back and forth between this node and an owner
+   * that is gone. */
+  gboolean names_owner = !held_by_this_node && !node->state_unreachable;
+  kr_request_reply (request, 421, kr_wire_redirect (names_owner ? holder->node : NULL), 0);
 }
 
-/* Why the node can take no requests, or NULL. */
+/* Returns why the node is not ready for requests; NULL if it is ready. */
 static const char *
-unready_cause (const KrNode *node)
+find_not_ready_reason (const KrNode *node)
 {
   if (!kr_membership_is_synced (node->membership))
-    return "who owns what is not read yet";
+    return "the cluster membership has not been read yet";
   if (!node->machine_types)
     return "machine types are not known yet";
   if (node->state_unreachable)
-    return "peers reach the state service, this node does not";
+    return "peers reach the state service but this node does not";
   return NULL;
 }
 
 static void
 answer_ready (const KrNode *node, KrRequest *request)
 {
-  const char *cause = unready_cause (node);
-  if (cause)
-    kr_request_reply (request, 503, kr_wire_error (cause), KR_RETRY_AFTER_S);
+  const char *reason = find_not_ready_reason (node);
+  if (reason)
+    kr_request_reply (request, 503, kr_wire_error (reason), KR_RETRY_AFTER_S);
   else
     kr_request_reply (request, 200, NULL, 0);
 }
@@ -220,11 +229,11 @@
 static void
 log_readiness (KrNode *node)
 {
-  const char *cause = unready_cause (node);
-  if (cause == node->not_ready_reason)
+  const char *reason = find_not_ready_reason (node);
+  if (reason == node->not_ready_reason)
     return;
-  node->not_ready_reason = cause;
-  kr_info ("%s: %s", cause ? "not ready" : "ready", cause ? cause : "taking requests");
+  node->not_ready_reason = reason;
+  kr_info ("%s: %s", reason ? "not ready" : "ready", reason ? reason : "accepting requests");
 }
 
 static void
@@ -238,7 +247,7 @@
     answer_ready (node, request);
     break;
   case KR_ROUTE_REPORT:
-    beat (node, request);
+    handle_report (node, request);
     break;
   case KR_ROUTE_SUBMIT:
     kr_api_submit (node->api, request);
@@ -259,7 +268,7 @@
 }
 
 static gboolean
-state_heard (KrNode *node)
+state_reachable (KrNode *node)
 {
   return kr_state_seconds_since_answer (node->state_client) < KR_STATE_UNREACHABLE_S;
 }
@@ -277,9 +286,9 @@
   else if (g_str_equal (kr_request_path (request), KR_PEER_DIRECTIVES)) {
     json_t *body = kr_request_json (request);
     guint64 leader = (guint64) json_integer_value (json_object_get (body, "Leader"));
-    gboolean done = kr_provisioner_apply_directives (node->provisioner,
-                                                     json_object_get (body, "Wishes"), leader);
-    kr_request_reply (request, done ? 200 : 409, NULL, 0);
+    gboolean applied = kr_provisioner_apply_directives (node->provisioner,
+                                                        json_object_get (body, "Wishes"), leader);
+    kr_request_reply (request, applied ? 200 : 409, NULL, 0);
   } else if (g_str_equal (kr_request_path (request), KR_PEER_CANCELLATIONS))
     kr_request_reply (request, kr_cancel_handle_request (node, kr_request_json (request)), NULL, 0);
   else if (g_str_equal (kr_request_path (request), KR_PEER_TAKEOVERS))
@@ -296,39 +305,42 @@
 }
 
 static void
-peer_heard (double silence_s, gpointer data)
+on_peer_silence (double silence_s, gpointer data)
 {
   KrNode *node = data;
-  /* At the beginning of an outage for all some have heard it a little later than we: that is not
-   * served, as only a node that has heard it within the period of its own renewals is. */
-  if (!node->state_unreachable && !state_heard (node) && silence_s < KR_PEER_REACHES_STATE_S) {
-    kr_info ("state: a peer reaches it and we do not, leaving the balancer");
+  /* At the start of an outage for all nodes, the last answer to some peers is a little newer than
+   * the last answer to this node. Such a peer does not count as reaching the state service; only a
+   * peer that was answered within the interval of its lease renewals does. */
+  if (!node->state_unreachable && !state_reachable (node) && silence_s < KR_PEER_REACHES_STATE_S) {
+    kr_info ("state: a peer reaches it but this node does not, reporting not ready to the load "
+             "balancer");
     node->state_unreachable = TRUE;
   }
 }
 
-/* Without the state service a node can answer nothing; but in an outage for all, leaving the
- * balancer would gain nothing. A peer's word tells the two apart. */
+/* A node that cannot reach the state service can answer no request. It reports itself as not ready
+ * only if a peer does reach the service, as seen from the peers' answers to pings: in an outage for
+ * all nodes, leaving the load balancer would gain nothing. */
 static gboolean
 check_health (gpointer data)
 {
   KrNode *node = data;
-  set_shares (node);
+  update_rate_limits (node);
   log_readiness (node);
-  if (state_heard (node))
+  if (state_reachable (node))
     node->state_unreachable = FALSE;
   kr_detector_tick (node->detector);
   return G_SOURCE_CONTINUE;
 }
 
-/* --- life ---------------------------------------------------------------------------- */
+/* --- start and end ------------------------------------------------------------------- */
 KrNode *
 kr_node_new (const KrSettings *settings, GError **error)
 {
-  const KrMembershipEvents events = { holder_changed, needs_told, scanned };
-  const KrMachineRecordEvents record_events = { record_changed, machine_left };
+  const KrMembershipEvents events = { holder_changed, summary_stored, membership_relisted };
+  const KrMachineRecordEvents record_events = { records_changed, machine_removed };
   KrNode *node = g_new0 (KrNode, 1);
-  guint conns = (guint) (settings->sockets * KR_CLIENT_SOCKET_SHARE);
+  guint client_connections = (guint) (settings->sockets * KR_CLIENT_SOCKET_SHARE);
 
   node->settings = settings;
   node->loop = g_main_loop_new (NULL, FALSE);
@@ -341,16 +353,17 @@
   node->peer_client = kr_http_client_new (KR_PEER_CONNS * MAX (1, settings->peers->len),
                                           KR_PEER_CONNS, KR_CONN_IDLE_S);
   node->job_watch =
-      kr_watch_new (node->state_client, "job/", node->cancel, jobs_scanned, job_event, node);
+      kr_watch_new (node->state_client, "job/", node->cancel, jobs_listed, job_event, node);
   node->machine_records = kr_machine_records_new (settings, &record_events, node);
   node->membership = kr_membership_new (settings, node->state_client, node->machine_records,
                                         node->cancel, &events, node);
   node->detector = kr_detector_new (settings, node->state_client, node->peer_client,
-                                    node->membership, node->cancel, peer_heard, node);
+                                    node->membership, node->cancel, on_peer_silence, node);
   node->provisioner = kr_provisioner_new (node);
   node->api = kr_api_new (node);
-  node->public_server = kr_http_server_new (settings->client_listen, conns, KR_CONN_IDLE_S,
-                                            node->cancel, serve_public, node, error);
+  node->public_server =
+      kr_http_server_new (settings->client_listen, client_connections, KR_CONN_IDLE_S, node->cancel,
+                          serve_public, node, error);
   if (node->public_server)
     node->peer_server =
         kr_http_server_new (settings->internal_addr, 4 * MAX (1, settings->peers->len),
@@ -360,8 +373,8 @@
     return NULL;
   }
   node->health_timer = kr_timer_add (KR_TICK_MS, check_health, node);
-  kr_info ("%s in %s, part %u of %u, users on %s", settings->node_name, settings->zone,
-           settings->self_index, settings->shard_count, settings->client_listen);
+  kr_info ("%s in zone %s, home shard %u of %u, listening for users on %s", settings->node_name,
+           settings->zone, settings->self_index, settings->shard_count, settings->client_listen);
   return node;
 }
 
@@ -371,7 +384,6 @@
   g_main_loop_run (node->loop);
 }
 
-/* Ends all duties; the process ends right after. */
 void
 kr_node_free (KrNode *node)
 {
--- a/src/node.h
+++ b/src/node.h
@@ -1,4 +1,4 @@
-/* One controller: puts the modules together and runs them on one main loop. */
+/* A node, i.e. one controller process: creates the modules and runs them on one main loop. */
 #pragma once
 #include "cloud-client.h"
 #include "failure-detector.h"
@@ -21,28 +21,31 @@
   KrMachineRecords *machine_records;
   KrMembership *membership;
   KrDetector *detector;
-  KrWatch *job_watch;       /* follows job/ while a part is ours */
-  KrShard **shards;         /* size; NULL: not ours */
-  GPtrArray *machine_types; /* KrMachineType; NULL: not yet known */
+  KrWatch *job_watch;       /* watches job/ while this node owns a shard */
+  KrShard **shards;         /* an entry for each shard; NULL: not owned by this node */
+  GPtrArray *machine_types; /* KrMachineType; NULL: not known yet */
   KrProvisioner *provisioner;
   KrApi *api;
   KrHttpServer *public_server, *peer_server;
-  const char *not_ready_reason; /* why it takes no requests, as logged last; NULL: it does */
-  gboolean state_unreachable;   /* a peer reaches the state service and we do not */
-  double allotted_write_rate;   /* changes a second that the leader allots, */
-  gint64 allotment_expires_at;  /* monotonic us: and until when */
+  const char *not_ready_reason; /* as logged last; NULL: the node is ready for requests */
+  gboolean state_unreachable;   /* the state service answers a peer, but not this node */
+  double allotted_write_rate;   /* writes a second that the leader has allotted this node */
+  gint64 allotment_expires_at;  /* monotonic us */
   guint health_timer;
 } KrNode;
 
+/* Returns NULL and sets `error` if an address cannot be listened on. */
 KrNode *kr_node_new (const KrSettings *settings, GError **error);
 void kr_node_run (KrNode *node);
+/* Stops all activity. Not all memory is freed, since the process ends right after. */
 void kr_node_free (KrNode *node);
-/* Changes a second to the state service that a node may make as long as none is allotted more. */
+/* Returns the writes (puts and deletes) a second to the state service that the node `name` may make
+ * as long as the leader allots it no other rate. */
 double kr_node_base_write_rate (KrNode *node, const char *name);
-/* What the leader allots this node, for KR_BUDGET_VALID_S. */
-void kr_node_set_write_rate (KrNode *node, double writes);
-/* Changes that wait for the limit on this node. */
+/* Sets the rate that the leader allots this node, for KR_BUDGET_VALID_S. */
+void kr_node_set_write_rate (KrNode *node, double writes_per_s);
+/* Returns the number of writes on this node that wait for the rate limit. */
 double kr_node_queued_writes (KrNode *node);
-/* Connections to workers at once. */
+/* Returns the limit of concurrent connections to workers. */
 guint kr_node_worker_connections (const KrSettings *settings);
 const KrMachineType *kr_node_machine_type (KrNode *node, const char *name); /* NULL: unknown */
