--- a/src/failure-detector.c
+++ b/src/failure-detector.c
@@ -236,8 +236,8 @@
     any_unresponsive |= is_unresponsive (&detector->peers[i]);
     advance_probe (&detector->peers[i]);
   }
-  /* A peer that this node cannot reach may not reach this node either, and may probe it. The watch
-   * may show that probe late, so the presence is written without waiting for it. */
+  /* A peer that this node cannot reach may not reach this node either, and therefore probe it. The
+   * watch may show such a probe late, so this node writes its presence without waiting for one. */
   if (any_unresponsive)
     kr_membership_refresh_presence (detector->membership);
   return G_SOURCE_CONTINUE;
--- a/src/machine-records.h
+++ b/src/machine-records.h
@@ -61,8 +61,11 @@
 KrRecordUpdate *kr_record_update_new (KrMachineRecords *records);
 void kr_record_update_free (KrRecordUpdate *update);
 G_DEFINE_AUTOPTR_CLEANUP_FUNC (KrRecordUpdate, kr_record_update_free)
+/* address: "" while the machine is not used. */
 void kr_record_update_add (KrRecordUpdate *update, guint shard, const char *machine,
                            const char *address);
+/* Changes the address of a machine. Like the next two functions, this does nothing if the machine
+ * is in no shard. */
 void kr_record_update_set (KrRecordUpdate *update, const char *machine, const char *address);
 void kr_record_update_remove (KrRecordUpdate *update, const char *machine);
 /* Writes the machine's chunk unchanged. Any other transaction that expects the chunk's present
--- a/src/membership.c
+++ b/src/membership.c
@@ -27,7 +27,7 @@
   gboolean holds_off_home; /* as last written in this node's presence; see Presence */
   /* The watch last showed this node's presence as this incarnation wrote it. */
   gboolean presence_current;
-  guint64 presence_revision; /* revision of this node's presence */
+  guint64 presence_revision; /* of this node's presence, as last shown by the watch */
   /* Revision of the newest probe of this node; the probe is answered once the presence is newer. */
   guint64 probe_revision;
   gint64 renewal_sent;       /* monotonic us */
--- a/src/membership.h
+++ b/src/membership.h
@@ -1,7 +1,8 @@
 /* Cluster membership and leadership: which nodes are present, which node owns which shard, and
- * which node is the leader. All of it is stored in keys below c/ of the state service; the keys
- * that a node writes for itself are bound to its lease. Only the state service decides who owns a
- * shard. A key's revision is its holder's fencing token. */
+ * which node is the leader. All of it is stored in keys below c/ of the state service. A
+ * node's presence, its probes of peers and the owner and leader keys that it holds are bound to its
+ * lease. Only the state service decides which node owns a shard. The revision of an owner's or
+ * leader's key is the holder's fencing token. */
 #pragma once
 #include "owner-history.h"
 #include "machine-records.h"
@@ -70,8 +71,8 @@
 
 /* The lease to which this node's keys are bound; 0: none. */
 guint64 kr_membership_lease (KrMembership *membership);
-/* Writes this node's presence again, at most every KR_NODE_RENEW_MS. A peer that probes this node
- * sees from the new revision that the node is alive. */
+/* Writes this node's presence again, at most once per KR_NODE_RENEW_MS. A peer that probes this
+ * node sees from the new revision that the node is alive. */
 void kr_membership_refresh_presence (KrMembership *membership);
 gboolean kr_membership_is_present (KrMembership *membership, const char *node);
 /* Returns the lease that a node's presence names; 0 if it names none (an older version wrote it) or
--- a/src/state-client.c
+++ b/src/state-client.c
@@ -10,6 +10,7 @@
   gint64 answered_at, failed_at; /* monotonic us of the newest answer and failure; 0: none yet */
 };
 
+/* A call that waits for the rate limiters or is in flight. */
 typedef struct {
   KrStateClient *state;
   const char *method;
@@ -235,9 +236,10 @@
   KrWatchListFunc on_list;
   KrWatchEventFunc on_event;
   gpointer data;
-  guint64 revision;
-  gboolean listed;
-  json_t *items; /* the pages of the list read so far */
+  guint64 revision; /* the changes up to this revision are known; valid once listed */
+  gboolean listed;  /* the list is complete; its changes are being followed */
+  json_t *items;    /* the pages of the list read so far */
+  /* Revision of the first page: later pages may miss changes of earlier ones after it. */
   guint64 list_revision;
   guint timer; /* until the next call; while a call is in flight: until it counts as lost */
 };
