--- a/src/membership.h
+++ b/src/membership.h
@@ -1,8 +1,8 @@
 /* Cluster membership and leadership: which nodes are present, which node owns which shard, and
- * which node is the leader. All of it is stored in keys below c/ of the state service. A
- * node's presence, its probes of peers and the owner and leader keys that it holds are bound to its
- * lease. Only the state service decides which node owns a shard. The revision of an owner's or
- * leader's key is the holder's fencing token. */
+ * which node is the leader. All of it is stored in keys below c/ of the state service. A node's
+ * presence, its probes of peers and the owner and leader keys that it holds are bound to its lease.
+ * Only the state service decides which node owns a shard. The revision of an owner's or leader's
+ * key is the holder's fencing token. */
 #pragma once
 #include "owner-history.h"
 #include "machine-records.h"
--- a/src/node.h
+++ b/src/node.h
@@ -44,7 +44,8 @@
 double kr_node_base_write_rate (KrNode *node, const char *name);
 /* Sets the rate that the leader allots this node, for KR_BUDGET_VALID_S. */
 void kr_node_set_write_rate (KrNode *node, double writes_per_s);
-/* Returns the number of writes on this node that wait for the rate limit. */
+/* Returns the number of writes on this node that wait for the rate limit, including those for the
+ * ends of jobs. */
 double kr_node_queued_writes (KrNode *node);
 /* Returns the limit of concurrent connections to workers. */
 guint kr_node_worker_connections (const KrSettings *settings);
--- a/src/state-client.c
+++ b/src/state-client.c
@@ -239,7 +239,7 @@
   guint64 revision; /* the changes up to this revision are known; valid once listed */
   gboolean listed;  /* the list is complete; its changes are being followed */
   json_t *items;    /* the pages of the list read so far */
-  /* Revision of the first page: later pages may miss changes of earlier ones after it. */
+  /* Revision of the first page. The watch starts there: the pages may lack later changes. */
   guint64 list_revision;
   guint timer; /* until the next call; while a call is in flight: until it counts as lost */
 };
