--- a/src/api.c
+++ b/src/api.c
@@ -9,40 +9,44 @@
 #include <math.h>
 #include <string.h>
 
+/* The final state of a job and the number of its completed tasks. */
 typedef struct {
   KrJobState state;
   guint done;
-} Final;
+} FinalState;
 
 struct KrApi {
   KrNode *node;
   GCancellable *cancel;
-  GHashTable *finals; /* id -> Final: immutable once told */
-  GQueue order;       /* ids, oldest first */
-  guint pending;      /* requests that wait for the state service */
-  guint polls;        /* of them */
-  guint crowd;        /* polls that wait for a request they share */
+  GHashTable *final_cache; /* id -> FinalState, which never changes */
+  GQueue final_order;      /* ids in final_cache, oldest first */
+  guint pending_calls;     /* calls that make requests of their own to the state service */
+  guint pending_polls;     /* the polls among them */
+  guint shared_polls;      /* polls that wait for a shared update of the view */
   KrJobView *view;
-  GHashTable *polled; /* id -> GPtrArray of KrRequest: a poll of it is under way, these come next */
+  /* id of each job with a poll in progress -> GPtrArray of KrRequest: the polls of the same job
+   * that arrived since then */
+  GHashTable *active_polls;
 };
 
-/* One user's request on its way. */
-typedef struct Visit Visit;
-typedef void (*Found) (Visit *v, gboolean known, KrKeyValue *item);
-struct Visit {
+/* A user's request in progress. */
+typedef struct ApiCall ApiCall;
+/* `known`: the state service has answered. `item`: the stored job, NULL if there is none. */
+typedef void (*LookupFunc) (ApiCall *call, gboolean known, KrKeyValue *item);
+struct ApiCall {
   KrApi *api;
   KrRequest *request;
-  GPtrArray *others; /* polls of the same job that share its answer; NULL: none */
+  GPtrArray *duplicate_polls; /* KrRequest: polls that get the same answer; NULL: none */
   KrRoute route;
   char *id;
-  gint64 deadline;
-  Found found;
-  gboolean counted;   /* in `pending`: it costs requests of its own */
-  gboolean ended_key; /* looking below end/ now */
-  guint tries;        /* to have a cancellation committed under, or confirmed by, the owner */
-  /* of a job that is cancelled and not over: */
+  gint64 deadline; /* monotonic us */
+  LookupFunc on_lookup;
+  gboolean counted;           /* in pending_calls */
+  gboolean reading_final_key; /* the lookup has come to the key below end/ */
+  guint confirm_tries;        /* retries of the cancellation or of its confirmation */
+  /* Of a job that is cancelled and has not ended; see kr_shard_cancel_job: */
   guint shard, done;
-  guint64 owner, revision; /* see kr_shard_cancel_job */
+  guint64 owner_revision, cancel_revision;
 };
 
 KrApi *
@@ -51,9 +55,9 @@
   KrApi *api = g_new0 (KrApi, 1);
   api->node = node;
   api->cancel = kr_cancellable_new_child (node->cancel);
-  api->finals = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
-  g_queue_init (&api->order);
-  api->polled = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
+  api->final_cache = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
+  g_queue_init (&api->final_order);
+  api->active_polls = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
   api->view = kr_job_view_new (node->state_client, api->cancel);
   return api;
 }
@@ -66,264 +70,268 @@
 }
 
 static void
-remember (KrApi *api, const char *id, KrJobState state, guint done)
+cache_final_state (KrApi *api, const char *id, KrJobState state, guint done)
 {
-  if (g_hash_table_contains (api->finals, id))
+  if (g_hash_table_contains (api->final_cache, id))
     return;
-  if (api->order.length >= KR_FINAL_CACHE_JOBS) {
-    g_autofree char *oldest = g_queue_pop_head (&api->order);
-    g_hash_table_remove (api->finals, oldest);
+  if (api->final_order.length >= KR_FINAL_CACHE_JOBS) {
+    g_autofree char *oldest = g_queue_pop_head (&api->final_order);
+    g_hash_table_remove (api->final_cache, oldest);
   }
-  Final *f = g_new (Final, 1);
-  *f = (Final){ state, done };
-  g_hash_table_insert (api->finals, g_strdup (id), f);
-  g_queue_push_tail (&api->order, g_strdup (id));
+  FinalState *final_state = g_new (FinalState, 1);
+  *final_state = (FinalState){ state, done };
+  g_hash_table_insert (api->final_cache, g_strdup (id), final_state);
+  g_queue_push_tail (&api->final_order, g_strdup (id));
 }
 
-static Visit *
-visit_new (KrApi *api, KrRequest *request, KrRoute route, const char *id, guint ms)
+static ApiCall *
+api_call_new (KrApi *api, KrRequest *request, KrRoute route, const char *id, guint deadline_ms)
 {
-  Visit *visit = g_new0 (Visit, 1);
-  visit->api = api;
-  visit->request = request;
-  visit->route = route;
-  visit->id = g_strdup (id);
-  visit->deadline = kr_now () + (gint64) ms * 1000;
-  return visit;
+  ApiCall *call = g_new0 (ApiCall, 1);
+  call->api = api;
+  call->request = request;
+  call->route = route;
+  call->id = g_strdup (id);
+  call->deadline = kr_now () + (gint64) deadline_ms * 1000;
+  return call;
 }
 
-/* From here on it costs requests to the state service of its own. */
+/* Counts the call as one that makes requests of its own to the state service. */
 static void
-count (Visit *request)
+count_pending (ApiCall *call)
 {
-  request->counted = TRUE;
-  request->api->pending++;
-  request->api->polls += request->route == KR_ROUTE_POLL;
+  call->counted = TRUE;
+  call->api->pending_calls++;
+  call->api->pending_polls += call->route == KR_ROUTE_POLL;
 }
 
-static void next_polls (KrApi *api, const char *id);
+static void start_next_poll (KrApi *api, const char *id);
 
 static void
-answer (Visit *request, guint status, json_t *body, guint retry_after_s)
+reply (ApiCall *call, guint status, json_t *body, guint retry_after_s)
 {
-  for (guint i = 0; request->others && i < request->others->len; i++)
-    kr_request_reply (request->others->pdata[i], status, json_incref (body), retry_after_s);
-  kr_request_reply (request->request, status, body, retry_after_s);
-  request->api->pending -= request->counted;
-  request->api->polls -= request->counted && request->route == KR_ROUTE_POLL;
-  if (request->route == KR_ROUTE_POLL)
-    next_polls (request->api, request->id);
-  g_clear_pointer (&request->others, g_ptr_array_unref);
-  g_free (request->id);
-  g_free (request);
+  for (guint i = 0; call->duplicate_polls && i < call->duplicate_polls->len; i++)
+    kr_request_reply (call->duplicate_polls->pdata[i], status, json_incref (body), retry_after_s);
+  kr_request_reply (call->request, status, body, retry_after_s);
+  call->api->pending_calls -= call->counted;
+  call->api->pending_polls -= call->counted && call->route == KR_ROUTE_POLL;
+  if (call->route == KR_ROUTE_POLL)
+    start_next_poll (call->api, call->id);
+  g_clear_pointer (&call->duplicate_polls, g_ptr_array_unref);
+  g_free (call->id);
+  g_free (call);
 }
 
 static void
-cannot_know (Visit *request)
+reply_unavailable (ApiCall *call)
 {
-  answer (request, 503, kr_wire_error ("the state service cannot be asked now"), KR_RETRY_AFTER_S);
+  reply (call, 503, kr_wire_error ("the state service is unavailable"), KR_RETRY_AFTER_S);
 }
 
-/* The cancellation is committed; the user comes back for the word. */
+/* The cancellation is committed, but the owner has not confirmed it. The user asks again later. */
 static void
-not_yet (Visit *request)
+reply_unconfirmed (ApiCall *call)
 {
-  answer (request, 503, kr_wire_error ("the cancellation is not confirmed yet"), KR_RETRY_AFTER_S);
+  reply (call, 503, kr_wire_error ("the cancellation is not confirmed yet"), KR_RETRY_AFTER_S);
 }
 
-/* Guards against answers from before: of a node that stood still after it had read, while another
- * told a newer state. What is over stays so. */
+/* Whether an answer would come too late to be given. A process that was stalled after its read
+ * would otherwise answer with an older state than another node has answered meanwhile. Answers
+ * from the cache of final states need no such check, as these do not change. */
 static gboolean
-too_late (Visit *request)
+is_stale (ApiCall *call)
 {
-  return kr_now () > request->deadline + KR_USER_STALE_MS * G_GINT64_CONSTANT (1000);
+  return kr_now () > call->deadline + KR_USER_STALE_MS * G_GINT64_CONSTANT (1000);
 }
 
 static guint
-left_ms (Visit *request, guint most)
+remaining_ms (ApiCall *call, guint limit_ms)
 {
-  gint64 ms = (request->deadline - kr_now ()) / 1000;
-  return (guint) CLAMP (ms, 1, most);
+  gint64 ms = (call->deadline - kr_now ()) / 1000;
+  return (guint) CLAMP (ms, 1, limit_ms);
 }
 
-/* --- looking a job up: live first, then ended; it only ever moves that way ----------- */
-static void look (Visit *request, Found found);
-static void look_at_end (Visit *request);
+/* --- job lookup: the live key first, then the final key. Jobs only move in this order. */
+static void lookup_job (ApiCall *call, LookupFunc on_lookup);
+static void lookup_final_state (ApiCall *call);
 
-/* However many ask, submissions and cancellations do not wait behind them. */
+/* Polls have the lowest class, so that submissions and cancellations never wait behind them. */
 static KrQueueClass
-turn_of (const Visit *request)
+queue_class (const ApiCall *call)
 {
-  return request->route == KR_ROUTE_POLL ? KR_QUEUE_LOW : KR_QUEUE_NORMAL;
+  return call->route == KR_ROUTE_POLL ? KR_QUEUE_LOW : KR_QUEUE_NORMAL;
 }
 
 static void
-looked (guint status, json_t *body, gpointer data)
+lookup_done (guint status, json_t *body, gpointer data)
 {
-  Visit *request = data;
+  ApiCall *call = data;
   KrKeyValue item;
 
-  if (too_late (request))
-    cannot_know (request);
+  if (is_stale (call))
+    reply_unavailable (call);
   else if (status == 200 && kr_wire_key_value_parse (body, &item))
-    request->found (request, TRUE, &item);
-  else if (status == 404 && !request->ended_key)
-    look_at_end (request);
+    call->on_lookup (call, TRUE, &item);
+  else if (status == 404 && !call->reading_final_key)
+    lookup_final_state (call);
   else if (status == 404)
-    request->found (request, TRUE, NULL);
+    call->on_lookup (call, TRUE, NULL);
   else
-    request->found (request, FALSE, NULL);
+    call->on_lookup (call, FALSE, NULL);
 }
 
 static void
-look_at_end (Visit *request)
+lookup_final_state (ApiCall *call)
 {
-  g_autofree char *key = kr_job_final_key (request->id);
-  request->ended_key = TRUE;
-  kr_state_get (request->api->node->state_client, key, turn_of (request),
-                left_ms (request, KR_STATE_TIMEOUT_MS), request->api->cancel, looked, request);
+  g_autofree char *key = kr_job_final_key (call->id);
+  call->reading_final_key = TRUE;
+  kr_state_get (call->api->node->state_client, key, queue_class (call),
+                remaining_ms (call, KR_STATE_TIMEOUT_MS), call->api->cancel, lookup_done, call);
 }
 
 static void
-look (Visit *request, Found found)
+lookup_job (ApiCall *call, LookupFunc on_lookup)
 {
-  g_autofree char *key = kr_job_key (request->id);
-  if (!request->counted)
-    count (request);
-  request->found = found;
-  request->ended_key = FALSE;
-  kr_state_get (request->api->node->state_client, key, turn_of (request),
-                left_ms (request, KR_STATE_TIMEOUT_MS), request->api->cancel, looked, request);
+  g_autofree char *key = kr_job_key (call->id);
+  if (!call->counted)
+    count_pending (call);
+  call->on_lookup = on_lookup;
+  call->reading_final_key = FALSE;
+  kr_state_get (call->api->node->state_client, key, queue_class (call),
+                remaining_ms (call, KR_STATE_TIMEOUT_MS), call->api->cancel, lookup_done, call);
 }
 
-/* --- a cancellation is told once the part's owner surely acts on it ------------------ */
-/* Guards against tasks that run on: an owner that the state service refuses alone does not see the
- * cancellation there, and when the service is then out for all, nobody can take the part over while
- * its machines go on reporting to it. */
-static void confirm (Visit *request);
+/* --- confirmation of a cancellation by the shard's owner ----------------------------- */
+/* Asks the owner whether it acts on the committed cancellation. Without that the tasks could keep
+ * running: an owner that alone cannot reach the state service does not see the cancellation there,
+ * and when the service then fails for all nodes, no other node can acquire the shard while its
+ * machines keep reporting to that owner. */
+static void confirm_cancellation (ApiCall *call);
 
 static gboolean
-confirm_again (gpointer data)
+retry_confirmation (gpointer data)
 {
-  confirm (data);
+  confirm_cancellation (data);
   return G_SOURCE_REMOVE;
 }
 
 static gboolean
-look_again (gpointer data)
+retry_lookup (gpointer data)
 {
-  Visit *request = data;
-  look (request, request->found);
+  ApiCall *call = data;
+  lookup_job (call, call->on_lookup);
   return G_SOURCE_REMOVE;
 }
 
 static void
-try_again (Visit *request, GSourceFunc how)
+retry_later (ApiCall *call, GSourceFunc retry)
 {
-  if (++request->tries >= KR_CANCEL_CONFIRM_TRIES ||
-      left_ms (request, KR_CANCEL_CONFIRM_TIMEOUT_MS) <= KR_CANCEL_CONFIRM_RETRY_MS)
-    not_yet (request);
+  if (++call->confirm_tries >= KR_CANCEL_CONFIRM_TRIES ||
+      remaining_ms (call, KR_CANCEL_CONFIRM_TIMEOUT_MS) <= KR_CANCEL_CONFIRM_RETRY_MS)
+    reply_unconfirmed (call);
   else
-    kr_timer_add (KR_CANCEL_CONFIRM_RETRY_MS, how, request);
+    kr_timer_add (KR_CANCEL_CONFIRM_RETRY_MS, retry, call);
 }
 
 static void
-said (Visit *request, KrCancelStatus word)
+handle_cancel_status (ApiCall *call, KrCancelStatus status)
 {
-  switch (word) {
+  switch (status) {
   case KR_CANCEL_CONFIRMED:
-    remember (request->api, request->id, KR_JOB_CANCELLED, request->done);
-    answer (request, 200,
-            kr_wire_job_answer (request->id, KR_JOB_CANCELLED, request->route == KR_ROUTE_POLL,
-                                request->done, 0),
-            0);
+    cache_final_state (call->api, call->id, KR_JOB_CANCELLED, call->done);
+    reply (call, 200,
+           kr_wire_job_answer (call->id, KR_JOB_CANCELLED, call->route == KR_ROUTE_POLL, call->done,
+                               0),
+           0);
     break;
   case KR_CANCEL_PENDING:
-    try_again (request, confirm_again);
+    retry_later (call, retry_confirmation);
     break;
-  case KR_CANCEL_NO_SUCH_JOB: /* it may have ended meanwhile */
-    try_again (request, look_again);
+  case KR_CANCEL_NO_SUCH_JOB: /* the job may have ended meanwhile */
+    retry_later (call, retry_lookup);
     break;
   case KR_CANCEL_NOT_OWNER:
   case KR_CANCEL_NO_ANSWER:
-    not_yet (request);
+    reply_unconfirmed (call);
     break;
   }
 }
 
 static void
-owner_said (guint status, json_t *body, gpointer data)
+owner_answered (guint status, json_t *body, gpointer data)
 {
-  said (data, kr_cancel_status_from_http (status));
+  handle_cancel_status (data, kr_cancel_status_from_http (status));
 }
 
-/* The owner that our view names need not be the newest: any that took its key with the revision
- * named in the cancellation, or after it, has what it takes (see kr_shard_cancel_job). */
+/* The owner that this node knows of need not be the newest one. Any node that acquired the owner
+ * key at the revision named in the cancellation, or later, can confirm it (see
+ * kr_shard_cancel_job). */
 static void
-confirm (Visit *request)
+confirm_cancellation (ApiCall *call)
 {
-  KrNode *node = request->api->node;
-  const KrHolder *holder = request->shard < node->settings->shard_count
-                               ? kr_membership_holder (node->membership, request->shard)
+  KrNode *node = call->api->node;
+  const KrHolder *holder = call->shard < node->settings->shard_count
+                               ? kr_membership_holder (node->membership, call->shard)
                                : NULL;
   const KrPeerSettings *peer =
       holder && holder->node ? kr_settings_peer (node->settings, holder->node) : NULL;
 
-  if (holder && node->shards[request->shard])
-    said (request, kr_shard_cancel_job (node->shards[request->shard], request->id, request->owner,
-                                        request->revision));
+  if (holder && node->shards[call->shard])
+    handle_cancel_status (call, kr_shard_cancel_job (node->shards[call->shard], call->id,
+                                                     call->owner_revision, call->cancel_revision));
   else if (!peer)
-    not_yet (request);
+    reply_unconfirmed (call);
   else
     kr_http_client_call (
         node->peer_client, "POST", peer->addr, KR_PEER_CANCELLATIONS,
-        kr_cancel_request_new (request->shard, request->id, request->owner, request->revision),
-        left_ms (request, KR_CANCEL_CONFIRM_TIMEOUT_MS), request->api->cancel, owner_said, request);
+        kr_cancel_request_new (call->shard, call->id, call->owner_revision, call->cancel_revision),
+        remaining_ms (call, KR_CANCEL_CONFIRM_TIMEOUT_MS), call->api->cancel, owner_answered, call);
 }
 
-/* Tells what is stored of a job. */
+/* Answers from the stored state of a job. The live counts of an owned shard are newer. */
 static void
-answer_job (Visit *request, const KrStoredJob *view_job)
-{
-  KrJobState state = view_job->state;
-  guint done = view_job->done, running = view_job->running;
-  if (view_job->cancelled) {
-    request->shard = view_job->shard;
-    request->owner = view_job->owner;
-    request->revision = view_job->revision;
-    request->done = done;
-    confirm (request);
+reply_job (ApiCall *call, const KrStoredJob *stored_job)
+{
+  KrJobState state = stored_job->state;
+  guint done = stored_job->done, running = stored_job->running;
+  if (stored_job->cancelled) {
+    call->shard = stored_job->shard;
+    call->owner_revision = stored_job->owner;
+    call->cancel_revision = stored_job->revision;
+    call->done = done;
+    confirm_cancellation (call);
     return;
   }
   if (state == KR_JOB_DONE || state == KR_JOB_CANCELLED)
-    remember (request->api, request->id, state, done);
+    cache_final_state (call->api, call->id, state, done);
   else
-    for (guint p = 0; p < request->api->node->settings->shard_count; p++)
-      if (request->api->node->shards[p] &&
-          kr_shard_job_counts (request->api->node->shards[p], request->id, &done, &running))
+    for (guint i = 0; i < call->api->node->settings->shard_count; i++)
+      if (call->api->node->shards[i] &&
+          kr_shard_job_counts (call->api->node->shards[i], call->id, &done, &running))
         state = running ? KR_JOB_RUNNING : KR_JOB_PENDING;
-  answer (request, 200,
-          kr_wire_job_answer (request->id, state, request->route == KR_ROUTE_POLL, done, running),
-          0);
+  reply (call, 200,
+         kr_wire_job_answer (call->id, state, call->route == KR_ROUTE_POLL, done, running), 0);
 }
 
 static void
-answer_value (Visit *request, const KrKeyValue *item)
+reply_stored (ApiCall *call, const KrKeyValue *item)
 {
-  KrStoredJob j;
-  if (kr_stored_job_parse (&j, item))
-    answer_job (request, &j);
+  KrStoredJob stored_job;
+  if (kr_stored_job_parse (&stored_job, item))
+    reply_job (call, &stored_job);
   else
-    cannot_know (request);
+    reply_unavailable (call);
 }
 
 static gboolean
-answer_from_cache (KrApi *api, KrRequest *request, const char *id, gboolean counts)
+reply_from_cache (KrApi *api, KrRequest *request, const char *id, gboolean with_counts)
 {
-  Final *f = g_hash_table_lookup (api->finals, id);
-  if (!f)
+  FinalState *final_state = g_hash_table_lookup (api->final_cache, id);
+  if (!final_state)
     return FALSE;
-  kr_request_reply (request, 200, kr_wire_job_answer (id, f->state, counts, f->done, 0), 0);
+  kr_request_reply (request, 200,
+                    kr_wire_job_answer (id, final_state->state, with_counts, final_state->done, 0),
+                    0);
   return TRUE;
 }
 
@@ -333,134 +341,136 @@
   kr_request_reply (request, 429, kr_wire_error ("too many requests"), KR_RETRY_AFTER_S);
 }
 
-/* The stage's buffer is small: beyond it the user is told at once when to come back. Polls have a
- * part of their own, so that a storm of them leaves room for the rest. */
+/* The number of pending calls is limited. Beyond the limit the user is told at once when to try
+ * again. Polls are counted separately, so that any number of them leaves room for other calls. */
 static gboolean
-too_busy (KrApi *api, KrRoute route)
+is_overloaded (KrApi *api, KrRoute route)
 {
-  /* As many as the state service answers within the time that a user waits. */
-  double most = MAX (KR_API_PENDING_MIN, kr_state_request_rate (api->node->state_client) *
-                                             KR_USER_READ_DEADLINE_MS / 1000.0);
-  return route == KR_ROUTE_POLL ? api->polls >= most * KR_API_POLL_SHARE
-                                : api->pending - api->polls >= most;
+  /* The number of requests that the state service answers within the time that a user waits. */
+  double limit = MAX (KR_API_PENDING_MIN, kr_state_request_rate (api->node->state_client) *
+                                              KR_USER_READ_DEADLINE_MS / 1000.0);
+  return route == KR_ROUTE_POLL ? api->pending_polls >= limit * KR_API_POLL_SHARE
+                                : api->pending_calls - api->pending_polls >= limit;
 }
 
 /* --- poll ---------------------------------------------------------------------------- */
 static void
-poll_found (Visit *request, gboolean known, KrKeyValue *item)
+poll_lookup_done (ApiCall *call, gboolean known, KrKeyValue *item)
 {
   if (!known)
-    cannot_know (request);
+    reply_unavailable (call);
   else if (!item)
-    answer (request, 404, kr_wire_error ("no such job"), 0);
+    reply (call, 404, kr_wire_error ("no such job"), 0);
   else
-    answer_value (request, item);
+    reply_stored (call, item);
 }
 
-/* What is not among the live jobs has ended, or never was. */
+/* A job that is not live has ended or never existed. */
 static void
-look_below_end (Visit *request)
+lookup_ended_job (ApiCall *call)
 {
-  if (too_busy (request->api, KR_ROUTE_POLL)) {
-    answer (request, 429, kr_wire_error ("too many requests"), KR_RETRY_AFTER_S);
+  if (is_overloaded (call->api, KR_ROUTE_POLL)) {
+    reply (call, 429, kr_wire_error ("too many requests"), KR_RETRY_AFTER_S);
     return;
   }
-  count (request);
-  look_at_end (request);
+  count_pending (call);
+  lookup_final_state (call);
 }
 
 static void
 view_synced (gboolean known, gpointer data)
 {
-  Visit *request = data;
-  const KrStoredJob *view_job = kr_job_view_find (request->api->view, request->id);
-  request->api->crowd--;
-  if (!known || too_late (request))
-    cannot_know (request);
-  else if (view_job)
-    answer_job (request, view_job);
+  ApiCall *call = data;
+  const KrStoredJob *stored_job = kr_job_view_find (call->api->view, call->id);
+  call->api->shared_polls--;
+  if (!known || is_stale (call))
+    reply_unavailable (call);
+  else if (stored_job)
+    reply_job (call, stored_job);
   else
-    look_below_end (request);
+    lookup_ended_job (call);
 }
 
-/* FALSE: too many wait already. */
+/* Returns FALSE if too many polls are waiting. Otherwise takes over the requests. */
 static gboolean
-start_poll (KrApi *api, KrRequest *request, GPtrArray *others, const char *id)
+start_poll (KrApi *api, KrRequest *request, GPtrArray *duplicate_polls, const char *id)
 {
-  gboolean alone = api->polls < KR_API_DIRECT_POLLS && api->crowd == 0;
-  if (!alone && api->crowd >= KR_API_SHARED_POLLS_MAX)
+  gboolean direct = api->pending_polls < KR_API_DIRECT_POLLS && api->shared_polls == 0;
+  if (!direct && api->shared_polls >= KR_API_SHARED_POLLS_MAX)
     return FALSE;
-  Visit *visit = visit_new (api, request, KR_ROUTE_POLL, id, KR_USER_READ_DEADLINE_MS);
-  visit->others = others;
-  visit->found = poll_found;
-  g_hash_table_insert (api->polled, g_strdup (id), g_ptr_array_new ());
-  if (alone)
-    look (visit, poll_found);
+  ApiCall *call = api_call_new (api, request, KR_ROUTE_POLL, id, KR_USER_READ_DEADLINE_MS);
+  call->duplicate_polls = duplicate_polls;
+  call->on_lookup = poll_lookup_done;
+  g_hash_table_insert (api->active_polls, g_strdup (id), g_ptr_array_new ());
+  if (direct)
+    lookup_job (call, poll_lookup_done);
   else {
-    api->crowd++;
-    kr_job_view_sync (api->view, view_synced, visit);
+    api->shared_polls++;
+    kr_job_view_sync (api->view, view_synced, call);
   }
   return TRUE;
 }
 
-/* Polls of a job that came while one of it was under way share one read that begins only now: that
- * one began before they came, so what was told meanwhile might not be in it. */
+/* Starts one read for all polls of a job that arrived while a poll of it was in progress. They
+ * cannot use that poll's read: it began before they arrived, so it may miss a state that the users
+ * have been told meanwhile. */
 static void
-next_polls (KrApi *api, const char *id)
-{
-  GPtrArray *next = g_hash_table_lookup (api->polled, id);
-  g_hash_table_remove (api->polled, id);
-  while (next->len && answer_from_cache (api, next->pdata[0], id, TRUE))
-    g_ptr_array_remove_index_fast (next, 0);
-  KrRequest *first = next->len ? g_ptr_array_steal_index_fast (next, 0) : NULL;
-  if (first && start_poll (api, first, next, id))
+start_next_poll (KrApi *api, const char *id)
+{
+  GPtrArray *waiting = g_hash_table_lookup (api->active_polls, id);
+  g_hash_table_remove (api->active_polls, id);
+  while (waiting->len && reply_from_cache (api, waiting->pdata[0], id, TRUE))
+    g_ptr_array_remove_index_fast (waiting, 0);
+  KrRequest *first = waiting->len ? g_ptr_array_steal_index_fast (waiting, 0) : NULL;
+  if (first && start_poll (api, first, waiting, id))
     return;
   if (first)
-    g_ptr_array_add (next, first);
-  for (guint i = 0; i < next->len; i++)
-    refuse (next->pdata[i]);
-  g_ptr_array_unref (next);
+    g_ptr_array_add (waiting, first);
+  for (guint i = 0; i < waiting->len; i++)
+    refuse (waiting->pdata[i]);
+  g_ptr_array_unref (waiting);
 }
 
 void
 kr_api_poll (KrApi *api, KrRequest *request, const char *id)
 {
-  GPtrArray *next;
+  GPtrArray *waiting;
   if (!kr_wire_is_job_id (id))
     kr_request_reply (request, 404, kr_wire_error ("no such job"), 0);
-  else if (answer_from_cache (api, request, id, TRUE))
+  else if (reply_from_cache (api, request, id, TRUE))
     return;
-  else if ((next = g_hash_table_lookup (api->polled, id)))
-    g_ptr_array_add (next, request);
+  else if ((waiting = g_hash_table_lookup (api->active_polls, id)))
+    g_ptr_array_add (waiting, request);
   else if (!start_poll (api, request, NULL, id))
     refuse (request);
 }
 
 /* --- submit -------------------------------------------------------------------------- */
 static void
-submit_found (Visit *request, gboolean known, KrKeyValue *item)
+submit_lookup_done (ApiCall *call, gboolean known, KrKeyValue *item)
 {
-  /* Absent after a write with unknown outcome: it may still be applied, so not "no". */
+  /* The write had an unknown outcome and may still be applied, so a missing key proves nothing. */
   if (!known || !item)
-    cannot_know (request);
+    reply_unavailable (call);
   else
-    answer_value (request, item);
+    reply_stored (call, item);
 }
 
 static void
-submitted (guint status, json_t *body, gpointer data)
+submit_committed (guint status, json_t *body, gpointer data)
 {
-  Visit *request = data;
+  ApiCall *call = data;
   if (status == 200)
-    answer (request, 201, kr_wire_job_answer (request->id, KR_JOB_PENDING, FALSE, 0, 0), 0);
+    reply (call, 201, kr_wire_job_answer (call->id, KR_JOB_PENDING, FALSE, 0, 0), 0);
   else if (status == 409 || status == 0)
-    look (request, submit_found);
+    lookup_job (call, submit_lookup_done);
   else
-    cannot_know (request);
+    reply_unavailable (call);
 }
 
+/* Returns why the job can never run, or NULL. */
 static const char *
-never (KrApi *api, const KrJobSpec *spec)
+rejection_reason (KrApi *api, const KrJobSpec *spec)
 {
   const KrTeam *team = kr_settings_team (api->node->settings, spec->team);
   gboolean fits = FALSE;
@@ -469,9 +479,9 @@
   for (guint i = 0; i < api->node->machine_types->len; i++)
     fits |= kr_placement_fits_type (spec, api->node->machine_types->pdata[i]);
   if (!fits)
-    return "a task fits no allowed machine type";
+    return "no allowed machine type is large enough for a task";
   if (!kr_placement_job_within_quota (team, spec))
-    return "the job needs more than the team's limit";
+    return "the job exceeds the team's quota";
   return NULL;
 }
 
@@ -480,85 +490,87 @@
 {
   g_autoptr (GError) error = NULL;
   g_autoptr (KrJobSpec) spec = kr_wire_spec_parse (kr_request_json (request), &error);
-  const char *why;
+  const char *reason;
   KrStateClient *state = api->node->state_client;
 
   if (!spec)
     kr_request_reply (request, 400, kr_wire_error (error->message), 0);
-  else if (answer_from_cache (api, request, spec->id, FALSE))
+  else if (reply_from_cache (api, request, spec->id, FALSE))
     return;
   else if (!api->node->machine_types)
     kr_request_reply (request, 503, kr_wire_error ("machine types are not yet known"),
                       KR_RETRY_AFTER_S);
-  else if ((why = never (api, spec)))
-    kr_request_reply (request, 422, kr_wire_error (why), 0);
-  else if (too_busy (api, KR_ROUTE_SUBMIT))
+  else if ((reason = rejection_reason (api, spec)))
+    kr_request_reply (request, 422, kr_wire_error (reason), 0);
+  else if (is_overloaded (api, KR_ROUTE_SUBMIT))
     refuse (request);
   else if (kr_state_write_wait (state) > KR_USER_WRITE_WAIT_MAX_S)
     kr_request_reply (request, 429, kr_wire_error ("too many writes"),
                       (guint) ceil (kr_state_write_wait (state)));
   else {
-    Visit *visit = visit_new (api, request, KR_ROUTE_SUBMIT, spec->id, KR_USER_WRITE_DEADLINE_MS);
-    g_autofree char *key = kr_job_key (spec->id), *end = kr_job_final_key (spec->id);
+    ApiCall *call =
+        api_call_new (api, request, KR_ROUTE_SUBMIT, spec->id, KR_USER_WRITE_DEADLINE_MS);
+    g_autofree char *key = kr_job_key (spec->id), *final_key = kr_job_final_key (spec->id);
     KrTxn *txn = kr_txn_new ();
     guint shard = kr_settings_shard_of_team (api->node->settings, spec->team);
-    g_autoptr (KrJob) j = kr_job_new (g_steal_pointer (&spec), kr_wall_clock_s (), shard);
+    g_autoptr (KrJob) job = kr_job_new (g_steal_pointer (&spec), kr_wall_clock_s (), shard);
     kr_txn_expect_revision (txn, key, 0);
-    kr_txn_expect_revision (txn, end, 0);
-    kr_txn_put (txn, key, kr_job_encode (j, j->done, 0), 0);
-    count (visit);
-    kr_state_commit (state, txn, KR_QUEUE_NORMAL, KR_STATE_TIMEOUT_MS, api->cancel, submitted,
-                     visit);
+    kr_txn_expect_revision (txn, final_key, 0);
+    kr_txn_put (txn, key, kr_job_encode (job, job->done, 0), 0);
+    count_pending (call);
+    kr_state_commit (state, txn, KR_QUEUE_NORMAL, KR_STATE_TIMEOUT_MS, api->cancel,
+                     submit_committed, call);
   }
 }
 
 /* --- abort --------------------------------------------------------------------------- */
-static void abort_found (Visit *request, gboolean known, KrKeyValue *item);
+static void abort_lookup_done (ApiCall *call, gboolean known, KrKeyValue *item);
 
 static void
-aborted (guint status, json_t *body, gpointer data)
+abort_committed (guint status, json_t *body, gpointer data)
 {
-  Visit *request = data;
-  g_autofree char *owner_key = kr_membership_owner_key (request->shard);
+  ApiCall *call = data;
+  g_autofree char *owner_key = kr_membership_owner_key (call->shard);
   if (status == 200) {
-    request->revision = kr_wire_revision (body);
-    confirm (request);
+    call->cancel_revision = kr_wire_revision (body);
+    confirm_cancellation (call);
   } else if (status == 409 && kr_wire_commit_failed_on (body, owner_key))
-    try_again (request, look_again); /* the watch shows the new owner within a round */
-  else if ((status == 409 || status == 0) && kr_now () < request->deadline)
-    look (request, abort_found);
+    retry_later (call, retry_lookup); /* the watch shows the new owner within a round */
+  else if ((status == 409 || status == 0) && kr_now () < call->deadline)
+    lookup_job (call, abort_lookup_done);
   else
-    cannot_know (request);
+    reply_unavailable (call);
 }
 
 static void
-abort_found (Visit *request, gboolean known, KrKeyValue *item)
+abort_lookup_done (ApiCall *call, gboolean known, KrKeyValue *item)
 {
   KrJobState state;
   guint running;
 
   if (!known)
-    cannot_know (request);
+    reply_unavailable (call);
   else if (!item)
-    answer (request, 404, kr_wire_error ("no such job"), 0);
-  else if (!kr_job_parse_status (item->value, &state, &request->done, &running) ||
+    reply (call, 404, kr_wire_error ("no such job"), 0);
+  else if (!kr_job_parse_status (item->value, &state, &call->done, &running) ||
            state >= KR_JOB_DONE ||
-           (request->shard = kr_job_parse_shard (item->value)) >=
-               request->api->node->settings->shard_count)
-    answer_value (request, item);
+           (call->shard = kr_job_parse_shard (item->value)) >=
+               call->api->node->settings->shard_count)
+    reply_stored (call, item);
   else {
-    /* Under the owner that we are going to ask: whoever comes after it reads the cancellation. */
-    const KrHolder *holder = kr_membership_holder (request->api->node->membership, request->shard);
-    g_autofree char *key = kr_job_key (request->id),
-                    *owner_key = kr_membership_owner_key (request->shard);
+    /* Commits only if the shard still has the owner that is asked next. Later owners read the
+     * cancellation when they take over. */
+    const KrHolder *holder = kr_membership_holder (call->api->node->membership, call->shard);
+    g_autofree char *key = kr_job_key (call->id),
+                    *owner_key = kr_membership_owner_key (call->shard);
     KrTxn *txn = kr_txn_new ();
-    request->owner = holder->node ? holder->revision : 0;
+    call->owner_revision = holder->node ? holder->revision : 0;
     kr_txn_expect_revision (txn, key, item->revision);
-    kr_txn_expect_revision (txn, owner_key, request->owner);
-    kr_txn_put (txn, key, kr_job_cancel_value (item->value, request->owner), 0);
-    kr_state_commit (request->api->node->state_client, txn, KR_QUEUE_HIGH,
-                     left_ms (request, KR_STATE_TIMEOUT_MS), request->api->cancel, aborted,
-                     request);
+    kr_txn_expect_revision (txn, owner_key, call->owner_revision);
+    kr_txn_put (txn, key, kr_job_cancel_value (item->value, call->owner_revision), 0);
+    kr_state_commit (call->api->node->state_client, txn, KR_QUEUE_HIGH,
+                     remaining_ms (call, KR_STATE_TIMEOUT_MS), call->api->cancel, abort_committed,
+                     call);
   }
 }
 
@@ -567,10 +579,11 @@
 {
   if (!kr_wire_is_job_id (id))
     kr_request_reply (request, 404, kr_wire_error ("no such job"), 0);
-  else if (answer_from_cache (api, request, id, FALSE))
+  else if (reply_from_cache (api, request, id, FALSE))
     return;
-  else if (too_busy (api, KR_ROUTE_ABORT))
+  else if (is_overloaded (api, KR_ROUTE_ABORT))
     refuse (request);
   else
-    look (visit_new (api, request, KR_ROUTE_ABORT, id, KR_USER_WRITE_DEADLINE_MS), abort_found);
+    lookup_job (api_call_new (api, request, KR_ROUTE_ABORT, id, KR_USER_WRITE_DEADLINE_MS),
+                abort_lookup_done);
 }
--- a/src/api.h
+++ b/src/api.h
@@ -1,12 +1,15 @@
-/* Users. Any node answers any request from the state service; what cannot be known is 503. */
+/* The users' API: submits, polls and cancels jobs. Any node answers any request from the state of
+ * the state service, with 503 where that state cannot be read. */
 #pragma once
 #include "http-server.h"
 #include "node.h"
 #include "wire.h"
 
 KrApi *kr_api_new (KrNode *node);
+/* Cancels all calls in progress. The memory is not freed, as their callbacks may still run. */
 void kr_api_free (KrApi *api);
-/* All three take over `request`. */
+/* These three functions take over `request` and answer it, at once or later. */
 void kr_api_submit (KrApi *api, KrRequest *request);
 void kr_api_poll (KrApi *api, KrRequest *request, const char *id);
+/* Cancels the job. */
 void kr_api_abort (KrApi *api, KrRequest *request, const char *id);
