--- a/src/job-view.c
+++ b/src/job-view.c
@@ -3,155 +3,159 @@
 #include "constants.h"
 #include <string.h>
 
-#define PREFIX "job/"
+#define JOB_KEY_PREFIX "job/"
 
+/* A caller of kr_job_view_sync. */
 typedef struct {
-  KrJobViewFunc reply;
+  KrJobViewFunc callback;
   gpointer data;
 } Waiter;
 
 struct KrJobView {
   KrStateClient *state;
   GCancellable *cancel;
-  KrWatch *scan;
-  GHashTable *jobs; /* id -> KrStoredJob */
-  guint64 revision; /* all changes up to it are in; 0: not read yet */
-  gint64 synced;    /* monotonic us: what was changed before then is in */
-  gint64 began;     /* the same of the request under way */
-  gboolean busy;
-  GArray *waiting; /* Waiter: for the next request */
-  GArray *served;  /* Waiter: for the one under way */
-  guint timer;
+  KrWatch *lister;           /* lists all live jobs; stopped before it watches for changes */
+  GHashTable *jobs;          /* id -> KrStoredJob */
+  guint64 revision;          /* the view has all changes up to this one; 0: not listed yet */
+  gint64 synced_at;          /* monotonic us: the view has all changes made before this time */
+  gint64 request_started_at; /* monotonic us */
+  gboolean request_in_progress;
+  GArray *queued;  /* Waiter: callers that the next request serves */
+  GArray *current; /* Waiter: callers that the request in progress serves */
+  guint timer;     /* until the next request, or the time-out of a list */
 };
 
-static void go_on (KrJobView *view);
+static void schedule_request (KrJobView *view);
 
 gboolean
-kr_stored_job_parse (KrStoredJob *view_job, const KrKeyValue *item)
+kr_stored_job_parse (KrStoredJob *stored_job, const KrKeyValue *item)
 {
-  *view_job = (KrStoredJob){ .revision = item->revision };
-  if (!kr_job_parse_status (item->value, &view_job->state, &view_job->done, &view_job->running))
+  *stored_job = (KrStoredJob){ .revision = item->revision };
+  if (!kr_job_parse_status (item->value, &stored_job->state, &stored_job->done,
+                            &stored_job->running))
     return FALSE;
-  view_job->cancelled = kr_job_parse_cancellation (item->value, &view_job->shard, &view_job->owner);
+  stored_job->cancelled =
+      kr_job_parse_cancellation (item->value, &stored_job->shard, &stored_job->owner);
   return TRUE;
 }
 
 static void
-take (KrJobView *view, const KrKeyValue *item)
+apply_item (KrJobView *view, const KrKeyValue *item)
 {
-  const char *id = item->key + strlen (PREFIX);
-  KrStoredJob j;
-  if (!item->value || !kr_stored_job_parse (&j, item)) {
+  const char *id = item->key + strlen (JOB_KEY_PREFIX);
+  KrStoredJob stored_job;
+  if (!item->value || !kr_stored_job_parse (&stored_job, item)) {
     g_hash_table_remove (view->jobs, id);
     return;
   }
-  g_hash_table_replace (view->jobs, g_strdup (id), g_memdup2 (&j, sizeof j));
+  g_hash_table_replace (view->jobs, g_strdup (id), g_memdup2 (&stored_job, sizeof stored_job));
 }
 
 static void
-finish (KrJobView *view, gboolean known)
+finish_request (KrJobView *view, gboolean up_to_date)
 {
-  g_autoptr (GArray) served = view->served;
-  view->served = g_array_new (FALSE, FALSE, sizeof (Waiter));
-  view->busy = FALSE;
+  g_autoptr (GArray) current = view->current;
+  view->current = g_array_new (FALSE, FALSE, sizeof (Waiter));
+  view->request_in_progress = FALSE;
   kr_timer_clear (&view->timer);
-  if (known)
-    view->synced = view->began;
-  for (guint i = 0; i < served->len; i++) {
-    const Waiter *w = &g_array_index (served, Waiter, i);
-    w->reply (known, w->data);
+  if (up_to_date)
+    view->synced_at = view->request_started_at;
+  for (guint i = 0; i < current->len; i++) {
+    const Waiter *waiter = &g_array_index (current, Waiter, i);
+    waiter->callback (up_to_date, waiter->data);
   }
-  go_on (view);
+  schedule_request (view);
 }
 
 static void
-scanned (json_t *items, guint64 revision, gpointer data)
+list_done (json_t *items, guint64 revision, gpointer data)
 {
   KrJobView *view = data;
-  json_t *o;
+  json_t *entry;
   size_t i;
 
-  kr_watch_stop (view->scan);
+  kr_watch_stop (view->lister);
   g_hash_table_remove_all (view->jobs);
-  json_array_foreach (items, i, o)
+  json_array_foreach (items, i, entry)
   {
     KrKeyValue item;
-    if (kr_wire_key_value_parse (o, &item))
-      take (view, &item);
+    if (kr_wire_key_value_parse (entry, &item))
+      apply_item (view, &item);
   }
   view->revision = revision;
-  finish (view, TRUE);
+  finish_request (view, TRUE);
 }
 
 static void
-never (const KrKeyValue *item, gpointer data)
+ignore_event (const KrKeyValue *item, gpointer data)
 {
-  /* The scan is stopped before it follows. */
+  /* The watch is stopped as soon as the list is complete. */
 }
 
 static void
-changed (guint status, json_t *body, gpointer data)
+changes_done (guint status, json_t *body, gpointer data)
 {
   KrJobView *view = data;
-  json_t *o;
+  json_t *entry;
   size_t i;
 
   if (status == 410)
     view->revision = 0;
   if (status != 200) {
-    finish (view, FALSE);
+    finish_request (view, FALSE);
     return;
   }
-  json_array_foreach (kr_wire_watch_events (body), i, o)
+  json_array_foreach (kr_wire_watch_events (body), i, entry)
   {
     KrKeyValue item;
-    if (kr_wire_watch_event_parse (o, &item))
-      take (view, &item);
+    if (kr_wire_watch_event_parse (entry, &item))
+      apply_item (view, &item);
   }
   view->revision = MAX (view->revision, kr_wire_revision (body));
-  finish (view, TRUE);
+  finish_request (view, TRUE);
 }
 
 static gboolean
-scan_late (gpointer data)
+list_timed_out (gpointer data)
 {
   KrJobView *view = data;
   view->timer = 0;
-  kr_watch_stop (view->scan);
-  finish (view, FALSE);
+  kr_watch_stop (view->lister);
+  finish_request (view, FALSE);
   return G_SOURCE_REMOVE;
 }
 
 static gboolean
-start (gpointer data)
+start_request (gpointer data)
 {
   KrJobView *view = data;
-  GArray *served = view->served;
+  GArray *current = view->current;
   gint64 now = kr_now ();
 
   view->timer = 0;
-  view->busy = TRUE;
-  view->served = view->waiting;
-  view->waiting = served;
-  view->began = now;
-  /* After a pause the live jobs are fewer than the changes. */
-  if (view->revision && now - view->synced < (gint64) (KR_JOB_VIEW_STALE_S * G_USEC_PER_SEC))
-    kr_state_changes (view->state, PREFIX, view->revision, KR_USER_READ_DEADLINE_MS, view->cancel,
-                      changed, view);
+  view->request_in_progress = TRUE;
+  view->current = view->queued;
+  view->queued = current;
+  view->request_started_at = now;
+  /* After a longer pause there are more changes than live jobs. */
+  if (view->revision && now - view->synced_at < (gint64) (KR_JOB_VIEW_STALE_S * G_USEC_PER_SEC))
+    kr_state_changes (view->state, JOB_KEY_PREFIX, view->revision, KR_USER_READ_DEADLINE_MS,
+                      view->cancel, changes_done, view);
   else {
-    view->timer = kr_timer_add (KR_USER_READ_DEADLINE_MS, scan_late, view);
-    kr_watch_relist (view->scan);
+    view->timer = kr_timer_add (KR_USER_READ_DEADLINE_MS, list_timed_out, view);
+    kr_watch_relist (view->lister);
   }
   return G_SOURCE_REMOVE;
 }
 
 static void
-go_on (KrJobView *view)
+schedule_request (KrJobView *view)
 {
-  if (view->busy || view->timer || view->waiting->len == 0)
+  if (view->request_in_progress || view->timer || view->queued->len == 0)
     return;
-  gint64 wait = view->began + KR_JOB_VIEW_SYNC_MS * 1000 - kr_now ();
-  view->timer = kr_timer_add ((guint) CLAMP (wait / 1000, 1, KR_JOB_VIEW_SYNC_MS), start, view);
+  gint64 wait = view->request_started_at + KR_JOB_VIEW_SYNC_MS * 1000 - kr_now ();
+  view->timer =
+      kr_timer_add ((guint) CLAMP (wait / 1000, 1, KR_JOB_VIEW_SYNC_MS), start_request, view);
 }
 
 KrJobView *
@@ -160,10 +164,10 @@
   KrJobView *view = g_new0 (KrJobView, 1);
   view->state = state;
   view->cancel = kr_cancellable_new_child (cancel);
-  view->scan = kr_watch_new (state, PREFIX, view->cancel, scanned, never, view);
+  view->lister = kr_watch_new (state, JOB_KEY_PREFIX, view->cancel, list_done, ignore_event, view);
   view->jobs = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
-  view->waiting = g_array_new (FALSE, FALSE, sizeof (Waiter));
-  view->served = g_array_new (FALSE, FALSE, sizeof (Waiter));
+  view->queued = g_array_new (FALSE, FALSE, sizeof (Waiter));
+  view->current = g_array_new (FALSE, FALSE, sizeof (Waiter));
   return view;
 }
 
@@ -172,17 +176,17 @@
 {
   kr_timer_clear (&view->timer);
   g_cancellable_cancel (view->cancel);
-  kr_watch_stop (view->scan);
+  kr_watch_stop (view->lister);
 }
 
-/* Joins only a request that begins after this call: one under way may have been answered before
- * what the asker has been told elsewhere. */
+/* The caller is served by a request that starts after this call. A request in progress may miss a
+ * change that the caller has already been told by another node. */
 void
-kr_job_view_sync (KrJobView *view, KrJobViewFunc reply, gpointer data)
+kr_job_view_sync (KrJobView *view, KrJobViewFunc callback, gpointer data)
 {
-  const Waiter w = { reply, data };
-  g_array_append_val (view->waiting, w);
-  go_on (view);
+  const Waiter waiter = { callback, data };
+  g_array_append_val (view->queued, waiter);
+  schedule_request (view);
 }
 
 const KrStoredJob *
--- a/src/job-view.h
+++ b/src/job-view.h
@@ -1,5 +1,6 @@
-/* What the state service holds of the live jobs, for users' questions: read once, then brought up
- * to date by one request for all that wait, however many jobs they ask about. */
+/* A local copy of the live jobs in the state service, which answers users' polls. It is listed once
+ * and then brought up to date by one request for all waiting callers, however many jobs they ask
+ * about. */
 #pragma once
 #include "job.h"
 #include "state-client.h"
@@ -12,16 +13,20 @@
   guint done, running;
   gboolean cancelled;
   guint shard;
-  guint64 owner, revision; /* of a cancelled one: see kr_shard_cancel_job */
+  guint64 owner, revision; /* of a cancelled job: see kr_shard_cancel_job */
 } KrStoredJob;
 
 KrJobView *kr_job_view_new (KrStateClient *state, GCancellable *cancel);
+/* Stops the view's requests. Does not free the memory. */
 void kr_job_view_free (KrJobView *view);
 
-/* known: whether the view holds every change that was made before the call. */
-typedef void (*KrJobViewFunc) (gboolean known, gpointer data);
-void kr_job_view_sync (KrJobView *view, KrJobViewFunc reply, gpointer data);
-/* FALSE: not a job's value. Ended ones are understood too. */
+/* `up_to_date`: the view has all changes that were made before the call of kr_job_view_sync. If
+ * FALSE, the state service could not be read. */
+typedef void (*KrJobViewFunc) (gboolean up_to_date, gpointer data);
+/* Brings the view up to date, then calls `callback`. */
+void kr_job_view_sync (KrJobView *view, KrJobViewFunc callback, gpointer data);
+/* Returns FALSE if `item` is not a stored job. Parses the values of ended jobs too. */
 gboolean kr_stored_job_parse (KrStoredJob *job, const KrKeyValue *item);
-/* NULL: no such live job. */
+/* Returns NULL if there is no such live job. The job belongs to the view and is valid until the
+ * view changes. */
 const KrStoredJob *kr_job_view_find (KrJobView *view, const char *job);
