--- a/src/http-client.c
+++ b/src/http-client.c
@@ -6,39 +6,43 @@
 #include <libsoup/soup.h>
 #include <string.h>
 
-/* The session never has more calls than connections: it walks over all its messages whenever one
- * begins or ends, so that what waits in it makes every call dearer. */
+/* Calls that exceed the number of connections are queued here, not in the session. The session
+ * walks over all its messages whenever one starts or ends, so each message queued there makes every
+ * call more expensive. */
 struct KrHttpClient {
-  grefcount refs; /* its calls hold one each */
+  grefcount refs; /* each call holds a reference */
   SoupSession *session;
   guint conns, conns_per_host, idle_s;
-  guint under_way;  /* calls that a session has and has not lost */
-  GQueue waiting;   /* Call: handed over in turn */
-  guint idle_timer; /* until unused connections are closed */
+  guint active_calls; /* calls that a session has and that are not lost */
+  GQueue queue;       /* Call: in the order in which they are sent */
+  guint idle_timer;   /* until idle connections are closed */
 };
 
-/* Stands until the session has reported its end, so that a late report finds it. */
+/* A call is freed only when the session reports its end, which may come after the call was
+ * answered with a time-out or counted as lost. */
 typedef struct {
   KrHttpClient *client;
-  GList *place; /* in `waiting`; NULL: the session has it */
+  GList *queue_link; /* in the client's queue; NULL: the session has the call */
   GCancellable *cancel;
-  SoupMessage *http_request;
-  guint timer;              /* the deadline; behind it, the wait for the session's report */
-  KrHttpResponseFunc reply; /* NULL: answered */
+  SoupMessage *message;
+  guint timer;                 /* the time-out; after it, the wait for the session's report */
+  KrHttpResponseFunc callback; /* NULL: already called */
   gpointer data;
-  gboolean lost; /* the session does not report its end */
+  gboolean lost; /* the session did not report the end of the call in time */
 } Call;
 
-static guint calls_lost;
+/* Number of lost calls in this process. */
+static guint lost_calls;
 
 guint
 kr_http_client_lost_calls (void)
 {
-  return calls_lost;
+  return lost_calls;
 }
 
-/* No idle time of the library's own: it would close a connection in the turn of the main loop in
- * which that is given to a call, and the call then never ends, or the process crashes. */
+/* libsoup's own idle time-out is off: it can close a connection in the same iteration of the main
+ * loop in which the connection is assigned to a call. The call then never ends, or the process
+ * crashes. */
 static SoupSession *
 session_new (const KrHttpClient *client)
 {
@@ -59,7 +63,7 @@
   client->conns = conns;
   client->conns_per_host = conns_per_host;
   client->idle_s = idle_s;
-  g_queue_init (&client->waiting);
+  g_queue_init (&client->queue);
   client->session = session_new (client);
   return client;
 }
@@ -81,42 +85,42 @@
   client_unref (client);
 }
 
-/* Without calls, an abort closes the unused connections and nothing else. */
+/* Without active calls, aborting the session only closes its idle connections. */
 static gboolean
-close_unused (gpointer data)
+close_idle_connections (gpointer data)
 {
   KrHttpClient *client = data;
   client->idle_timer = 0;
-  if (client->under_way)
-    client->idle_timer = kr_timer_add (KR_IDLE_CLOSE_RETRY_MS, close_unused, client);
+  if (client->active_calls)
+    client->idle_timer = kr_timer_add (KR_IDLE_CLOSE_RETRY_MS, close_idle_connections, client);
   else
     soup_session_abort (client->session);
   return G_SOURCE_REMOVE;
 }
 
 static void
-call_answer (Call *call, guint status, json_t *body)
+call_complete (Call *call, guint status, json_t *body)
 {
-  KrHttpResponseFunc reply = call->reply;
-  call->reply = NULL;
+  KrHttpResponseFunc callback = call->callback;
+  call->callback = NULL;
   kr_timer_clear (&call->timer);
-  reply (status, body, call->data);
+  callback (status, body, call->data);
 }
 
 static void
 call_free (Call *call)
 {
   kr_timer_clear (&call->timer);
-  g_clear_object (&call->http_request);
+  g_clear_object (&call->message);
   g_clear_object (&call->cancel);
   client_unref (call->client);
   g_free (call);
 }
 
-static void hand_over (KrHttpClient *client);
+static void send_queued (KrHttpClient *client);
 
-/* Its place is free for another call, and that goes to a new session: what the old one does with
- * its connections is not known any more. */
+/* Gives up a call whose end the session has not reported. The calls sent from now on use a new
+ * session, because the state of the old session's connections is unknown. */
 static gboolean
 call_lost (gpointer data)
 {
@@ -124,90 +128,91 @@
   KrHttpClient *client = call->client;
   call->timer = 0;
   call->lost = TRUE;
-  client->under_way--;
-  if (calls_lost++ == 0)
-    kr_info ("http: the end of a call was never reported (%s %s), new connections from now on",
-             soup_message_get_method (call->http_request),
-             g_uri_get_path (soup_message_get_uri (call->http_request)));
+  client->active_calls--;
+  if (lost_calls++ == 0)
+    kr_info ("http: the end of call %s %s was not reported, continuing with a new session",
+             soup_message_get_method (call->message),
+             g_uri_get_path (soup_message_get_uri (call->message)));
   g_object_unref (client->session);
   client->session = session_new (client);
-  hand_over (client);
+  send_queued (client);
   return G_SOURCE_REMOVE;
 }
 
-/* The caller gets its answer here, not when the session reports that the call is cancelled: it may
- * never do. */
+/* Answers the caller with status 0 at once, and then cancels the call. The session may never report
+ * the end of the cancelled call. */
 static gboolean
-call_late (gpointer data)
+call_timed_out (gpointer data)
 {
   Call *call = data;
   call->timer = 0;
-  if (call->place) {
-    g_queue_delete_link (&call->client->waiting, call->place);
-    call_answer (call, 0, NULL);
+  if (call->queue_link) {
+    g_queue_delete_link (&call->client->queue, call->queue_link);
+    call_complete (call, 0, NULL);
     call_free (call);
     return G_SOURCE_REMOVE;
   }
-  call_answer (call, 0, NULL);
+  call_complete (call, 0, NULL);
   call->timer = kr_timer_add (KR_CALL_LOST_TIMEOUT_MS, call_lost, call);
   g_cancellable_cancel (call->cancel);
   return G_SOURCE_REMOVE;
 }
 
 static void
-call_reported (Call *call)
+call_end_reported (Call *call)
 {
   if (call->lost) {
-    kr_debug ("call %s: its end came late",
-              g_uri_get_path (soup_message_get_uri (call->http_request)));
+    kr_debug ("http: call %s was given up and has now ended",
+              g_uri_get_path (soup_message_get_uri (call->message)));
     return;
   }
-  call->client->under_way--;
-  hand_over (call->client);
+  call->client->active_calls--;
+  send_queued (call->client);
 }
 
 static void
-call_done (GObject *source, GAsyncResult *result, gpointer data)
+send_finished (GObject *source, GAsyncResult *result, gpointer data)
 {
   Call *call = data;
   g_autoptr (GError) error = NULL;
   g_autoptr (GBytes) bytes =
       soup_session_send_and_read_finish (SOUP_SESSION (source), result, &error);
-  guint status = bytes ? soup_message_get_status (call->http_request) : 0;
+  guint status = bytes ? soup_message_get_status (call->message) : 0;
   json_t *body = NULL;
 
-  call_reported (call);
+  call_end_reported (call);
   if (bytes && g_bytes_get_size (bytes) > 0)
     body = json_loadb (g_bytes_get_data (bytes, NULL), g_bytes_get_size (bytes), JSON_DECODE_ANY,
                        NULL);
   else if (error)
-    kr_debug ("call %s: %s", g_uri_get_path (soup_message_get_uri (call->http_request)),
+    kr_debug ("http: call %s failed: %s", g_uri_get_path (soup_message_get_uri (call->message)),
               error->message);
-  if (call->reply)
-    call_answer (call, status, body);
+  if (call->callback)
+    call_complete (call, status, body);
   call_free (call);
   json_decref (body);
 }
 
-/* As many of those that wait as there are connections. */
+/* Passes queued calls to the session, up to the number of connections. */
 static void
-hand_over (KrHttpClient *client)
+send_queued (KrHttpClient *client)
 {
   Call *call;
-  while (client->under_way < client->conns && (call = g_queue_pop_head (&client->waiting))) {
-    call->place = NULL;
-    client->under_way++;
-    soup_session_send_and_read_async (client->session, call->http_request, G_PRIORITY_DEFAULT,
-                                      call->cancel, call_done, call);
+  while (client->active_calls < client->conns && (call = g_queue_pop_head (&client->queue))) {
+    call->queue_link = NULL;
+    client->active_calls++;
+    soup_session_send_and_read_async (client->session, call->message, G_PRIORITY_DEFAULT,
+                                      call->cancel, send_finished, call);
   }
-  if (client->under_way && client->idle_s && !client->idle_timer)
-    client->idle_timer = kr_timer_add (client->idle_s * 1000, close_unused, client);
+  if (client->active_calls && client->idle_s && !client->idle_timer)
+    client->idle_timer = kr_timer_add (client->idle_s * 1000, close_idle_connections, client);
 }
 
+/* The URI of the call is invalid. */
 static gboolean
-call_impossible (gpointer data)
+call_invalid (gpointer data)
 {
-  call_answer (data, 0, NULL);
+  call_complete (data, 0, NULL);
   call_free (data);
   return G_SOURCE_REMOVE;
 }
@@ -222,28 +227,28 @@
 
 void
 kr_http_client_call (KrHttpClient *client, const char *method, const char *host, const char *path,
-                     json_t *body, guint timeout_ms, GCancellable *cancel, KrHttpResponseFunc reply,
-                     gpointer data)
+                     json_t *body, guint timeout_ms, GCancellable *cancel,
+                     KrHttpResponseFunc callback, gpointer data)
 {
   g_autofree char *uri = g_strconcat ("http://", host, path, NULL);
   Call *call = g_new0 (Call, 1);
   g_ref_count_inc (&client->refs);
   call->client = client;
-  call->reply = reply;
+  call->callback = callback;
   call->data = data;
-  call->http_request = soup_message_new (method, uri);
-  if (!call->http_request) {
+  call->message = soup_message_new (method, uri);
+  if (!call->message) {
     json_decref (body);
-    g_idle_add (call_impossible, call);
+    g_idle_add (call_invalid, call);
     return;
   }
   call->cancel = kr_cancellable_new_child (cancel);
-  soup_message_add_flags (call->http_request, SOUP_MESSAGE_NO_REDIRECT);
+  soup_message_add_flags (call->message, SOUP_MESSAGE_NO_REDIRECT);
   if (body)
-    set_body (call->http_request, body);
+    set_body (call->message, body);
   json_decref (body);
-  call->timer = kr_timer_add (timeout_ms, call_late, call);
-  g_queue_push_tail (&client->waiting, call);
-  call->place = client->waiting.tail;
-  hand_over (client);
+  call->timer = kr_timer_add (timeout_ms, call_timed_out, call);
+  g_queue_push_tail (&client->queue, call);
+  call->queue_link = client->queue.tail;
+  send_queued (client);
 }
--- a/src/http-client.h
+++ b/src/http-client.h
@@ -1,21 +1,24 @@
-/* HTTP calls on libsoup: JSON bodies, a deadline, a bounded number at once. Knows no field of the
- * protocol. */
+/* An HTTP client on libsoup for calls with JSON bodies. Each call has a time-out, and the number of
+ * concurrent calls is limited. The client knows no field of the protocol. */
 #pragma once
 #include <gio/gio.h>
 #include <jansson.h>
 
 typedef struct KrHttpClient KrHttpClient;
-/* status 0: no response, the outcome is unknown. `body` is borrowed, NULL if not JSON. */
+/* `status`: 0 if there was no response, so that the outcome is unknown. `body`: NULL if the
+ * response is not JSON; it is borrowed and valid only until the callback returns. */
 typedef void (*KrHttpResponseFunc) (guint status, json_t *body, gpointer data);
 
-/* At most `conns` calls and connections at once, `conns_per_host` of them to one host. Unused
- * connections are closed every `idle_s` seconds, in a moment without calls; 0: by the peer only. */
+/* At most `conns` concurrent calls and connections, `conns_per_host` of them to one host. Idle
+ * connections are closed every `idle_s` seconds, at a moment without active calls. With 0, only the
+ * peer closes them. */
 KrHttpClient *kr_http_client_new (guint conns, guint conns_per_host, guint idle_s);
+/* Aborts the calls in progress. The callbacks of all calls are still called. */
 void kr_http_client_free (KrHttpClient *client);
-/* Takes over `body` (may be NULL). `reply` is called exactly once, later, cancelled or not, and at
- * the latest after `timeout_ms`, whatever the library does. */
+/* Takes over `body`, which may be NULL. `callback` is called exactly once, never before this
+ * function returns, also if the call is cancelled, and at the latest after `timeout_ms`. */
 void kr_http_client_call (KrHttpClient *client, const char *method, const char *host,
                           const char *path, json_t *body, guint timeout_ms, GCancellable *cancel,
-                          KrHttpResponseFunc reply, gpointer data);
-/* Calls of this process, so far, whose end the library did not report. */
+                          KrHttpResponseFunc callback, gpointer data);
+/* Returns the number of calls in this process whose end libsoup has not reported in time. */
 guint kr_http_client_lost_calls (void);
--- a/src/job-view.c
+++ b/src/job-view.c
@@ -100,7 +100,7 @@
   size_t i;
 
   if (status == 410)
-    view->revision = 0;
+    view->revision = 0; /* too old: the changes since then are no longer kept */
   if (status != 200) {
     finish_request (view, FALSE);
     return;
