--- a/src/http-server.c
+++ b/src/http-server.c
@@ -12,15 +12,15 @@
   GCancellable *cancel;
   KrHttpHandler handler;
   gpointer data;
-  guint conns, most, idle_s;
-  gboolean paused;
+  guint connections, max_connections, idle_s;
+  gboolean accept_paused; /* until a connection is closed */
 };
 
 struct KrRequest {
   SoupServerMessage *message;
   char *path;
   json_t *json;
-  gboolean gone;
+  gboolean disconnected; /* the connection was closed before the answer */
 };
 
 static void accept_next (KrHttpServer *server);
@@ -28,17 +28,17 @@
 static void
 request_finished (SoupServerMessage *message, gpointer data)
 {
-  ((KrRequest *) data)->gone = TRUE;
+  ((KrRequest *) data)->disconnected = TRUE;
 }
 
 static void
-handle (SoupServer *soup, SoupServerMessage *message, const char *path, GHashTable *query,
-        gpointer data)
+handle_request (SoupServer *soup, SoupServerMessage *message, const char *path, GHashTable *query,
+                gpointer data)
 {
   KrHttpServer *server = data;
   SoupMessageBody *body = soup_server_message_get_request_body (message);
   if (!soup_message_body_get_accumulate (body))
-    return; /* refused already, see too_large */
+    return; /* answered already by reject_too_large */
   KrRequest *request = g_new0 (KrRequest, 1);
   request->message = g_object_ref (message);
   request->path = g_strdup (path);
@@ -51,10 +51,10 @@
   server->handler (request, server->data);
 }
 
-/* A body over the limit is refused without being read whole: nothing of it is kept, and the
- * connection is closed behind the answer. */
+/* Answers a request whose body exceeds the limit, without reading the rest of the body. None of the
+ * body is kept, and the connection is closed after the answer. */
 static void
-too_large (SoupServerMessage *message)
+reject_too_large (SoupServerMessage *message)
 {
   GSocket *socket = soup_server_message_get_socket (message);
   soup_message_body_set_accumulate (soup_server_message_get_request_body (message), FALSE);
@@ -65,42 +65,42 @@
     g_socket_shutdown (socket, TRUE, FALSE, NULL);
 }
 
-/* Guards against a body of untold length (chunked) that goes on past the limit. */
+/* Limits chunked bodies, whose length is not known in advance. */
 static void
-got_chunk (SoupServerMessage *message, GBytes *chunk, gpointer data)
+check_chunk (SoupServerMessage *message, GBytes *chunk, gpointer data)
 {
   SoupMessageBody *body = soup_server_message_get_request_body (message);
   if (body->length <= KR_BODY_MAX_BYTES || !soup_message_body_get_accumulate (body))
     return;
   soup_message_body_truncate (body);
-  too_large (message);
+  reject_too_large (message);
 }
 
 static void
-early (SoupServer *soup, SoupServerMessage *message, const char *path, GHashTable *query,
-       gpointer data)
+check_content_length (SoupServer *soup, SoupServerMessage *message, const char *path,
+                      GHashTable *query, gpointer data)
 {
-  SoupMessageHeaders *h = soup_server_message_get_request_headers (message);
-  if (soup_message_headers_get_encoding (h) == SOUP_ENCODING_CONTENT_LENGTH &&
-      soup_message_headers_get_content_length (h) > KR_BODY_MAX_BYTES)
-    too_large (message);
+  SoupMessageHeaders *headers = soup_server_message_get_request_headers (message);
+  if (soup_message_headers_get_encoding (headers) == SOUP_ENCODING_CONTENT_LENGTH &&
+      soup_message_headers_get_content_length (headers) > KR_BODY_MAX_BYTES)
+    reject_too_large (message);
   else
-    g_signal_connect (message, "got-chunk", G_CALLBACK (got_chunk), NULL);
+    g_signal_connect (message, "got-chunk", G_CALLBACK (check_chunk), NULL);
 }
 
 static void
-connection_gone (gpointer data, GObject *connection)
+connection_closed (gpointer data, GObject *connection)
 {
   KrHttpServer *server = data;
-  server->conns--;
-  if (server->paused && server->conns < server->most) {
-    server->paused = FALSE;
+  server->connections--;
+  if (server->accept_paused && server->connections < server->max_connections) {
+    server->accept_paused = FALSE;
     accept_next (server);
   }
 }
 
 static gboolean
-accept_again (gpointer data)
+retry_accept (gpointer data)
 {
   accept_next (data);
   return G_SOURCE_REMOVE;
@@ -113,44 +113,44 @@
   g_autoptr (GSocketAddress) local = g_socket_connection_get_local_address (connection, NULL);
   g_autoptr (GSocketAddress) remote = g_socket_connection_get_remote_address (connection, NULL);
 
-  /* Reset before we accepted it: libsoup takes no connection without addresses. */
+  /* The peer reset the connection before it was accepted. libsoup needs both addresses. */
   if (!local || !remote) {
-    kr_debug ("connection gone before it was accepted");
+    kr_debug ("http: a connection was closed before it was accepted");
     return;
   }
   g_socket_set_timeout (g_socket_connection_get_socket (connection), server->idle_s);
-  server->conns++;
-  g_object_weak_ref (G_OBJECT (connection), connection_gone, server);
+  server->connections++;
+  g_object_weak_ref (G_OBJECT (connection), connection_closed, server);
   if (!soup_server_accept_iostream (server->soup, G_IO_STREAM (connection), local, remote, &error))
-    kr_debug ("connection refused: %s", error->message);
+    kr_debug ("http: a connection was refused: %s", error->message);
 }
 
 static void
-accepted (GObject *source, GAsyncResult *result, gpointer data)
+accept_done (GObject *source, GAsyncResult *result, gpointer data)
 {
   KrHttpServer *server = data;
   g_autoptr (GError) error = NULL;
-  g_autoptr (GSocketConnection) c =
+  g_autoptr (GSocketConnection) connection =
       g_socket_listener_accept_finish (G_SOCKET_LISTENER (source), result, NULL, &error);
 
-  if (!c) {
+  if (!connection) {
     if (!g_error_matches (error, G_IO_ERROR, G_IO_ERROR_CANCELLED))
-      kr_timer_add (KR_ACCEPT_RETRY_MS, accept_again, server);
+      kr_timer_add (KR_ACCEPT_RETRY_MS, retry_accept, server);
     return;
   }
-  serve_connection (server, c);
+  serve_connection (server, connection);
   accept_next (server);
 }
 
-/* The stage before the API: with all connections in use, further ones wait in the kernel's short
- * backlog and the balancer goes elsewhere. */
+/* Limits the number of connections. While all are in use, further ones wait in the kernel's short
+ * backlog, so that the load balancer turns to other nodes. */
 static void
 accept_next (KrHttpServer *server)
 {
-  if (server->conns >= server->most)
-    server->paused = TRUE;
+  if (server->connections >= server->max_connections)
+    server->accept_paused = TRUE;
   else
-    g_socket_listener_accept_async (server->listener, server->cancel, accepted, server);
+    g_socket_listener_accept_async (server->listener, server->cancel, accept_done, server);
 }
 
 KrHttpServer *
@@ -159,25 +159,27 @@
 {
   const char *colon = strrchr (address, ':');
   g_autofree char *host = g_strndup (address, colon - address);
-  g_autoptr (GSocketAddress) a = g_inet_socket_address_new_from_string (host, atoi (colon + 1));
+  g_autoptr (GSocketAddress) socket_address =
+      g_inet_socket_address_new_from_string (host, atoi (colon + 1));
   g_autoptr (GSocketListener) listener = g_socket_listener_new ();
 
   g_socket_listener_set_backlog (listener, (int) MIN (conns, KR_ACCEPT_BACKLOG_MAX));
-  if (!a || !g_socket_listener_add_address (listener, a, G_SOCKET_TYPE_STREAM,
-                                            G_SOCKET_PROTOCOL_TCP, NULL, NULL, error)) {
+  if (!socket_address ||
+      !g_socket_listener_add_address (listener, socket_address, G_SOCKET_TYPE_STREAM,
+                                      G_SOCKET_PROTOCOL_TCP, NULL, NULL, error)) {
     g_prefix_error (error, "cannot listen on %s: ", address);
     return NULL;
   }
   KrHttpServer *server = g_new0 (KrHttpServer, 1);
   server->soup = soup_server_new (NULL, NULL);
   soup_server_remove_websocket_extension (server->soup, SOUP_TYPE_WEBSOCKET_EXTENSION);
-  soup_server_add_early_handler (server->soup, NULL, early, server, NULL);
-  soup_server_add_handler (server->soup, NULL, handle, server, NULL);
+  soup_server_add_early_handler (server->soup, NULL, check_content_length, server, NULL);
+  soup_server_add_handler (server->soup, NULL, handle_request, server, NULL);
   server->listener = g_steal_pointer (&listener);
   server->cancel = kr_cancellable_new_child (cancel);
   server->handler = handler;
   server->data = data;
-  server->most = conns;
+  server->max_connections = conns;
   server->idle_s = idle_s;
   accept_next (server);
   return server;
@@ -192,7 +194,8 @@
   g_object_unref (server->soup);
   g_object_unref (server->listener);
   g_object_unref (server->cancel);
-  /* `s` itself stays for callbacks of connections that end later; a process has two. */
+  /* The struct is not freed, as callbacks of connections that end later use it. A process has two
+   * servers. */
 }
 
 const char *
@@ -222,23 +225,23 @@
 gboolean
 kr_request_disconnected (KrRequest *request)
 {
-  return request->gone;
+  return request->disconnected;
 }
 
 void
 kr_request_reply (KrRequest *request, guint status, json_t *body, guint retry_after_s)
 {
-  if (!request->gone) {
-    char *s = body ? json_dumps (body, JSON_COMPACT) : g_strdup ("{}");
+  if (!request->disconnected) {
+    char *text = body ? json_dumps (body, JSON_COMPACT) : g_strdup ("{}");
     if (retry_after_s) {
-      g_autofree char *v = g_strdup_printf ("%u", retry_after_s);
+      g_autofree char *seconds = g_strdup_printf ("%u", retry_after_s);
       soup_message_headers_replace (soup_server_message_get_response_headers (request->message),
-                                    "Retry-After", v);
+                                    "Retry-After", seconds);
     }
     soup_server_message_set_status (request->message, status, NULL);
-    soup_server_message_set_response (request->message, "application/json", SOUP_MEMORY_COPY, s,
-                                      strlen (s));
-    free (s);
+    soup_server_message_set_response (request->message, "application/json", SOUP_MEMORY_COPY, text,
+                                      strlen (text));
+    free (text);
     soup_server_message_unpause (request->message);
   }
   g_signal_handlers_disconnect_by_data (request->message, request);
--- a/src/http-server.h
+++ b/src/http-server.h
@@ -1,24 +1,31 @@
-/* An HTTP server on libsoup: bounded connections, bodies and idle times. Knows no field of the
- * protocol. */
+/* An HTTP server on libsoup, which limits the number of connections, their idle time and the size
+ * of request bodies. The server knows no field of the protocol. */
 #pragma once
 #include <gio/gio.h>
 #include <jansson.h>
 
 typedef struct KrHttpServer KrHttpServer;
 typedef struct KrRequest KrRequest;
+/* Called for each request. The handler takes over `request` and must answer it with
+ * kr_request_reply, at once or later. */
 typedef void (*KrHttpHandler) (KrRequest *request, gpointer data);
 
-/* Listens on "ip:port"; at most `conns` connections, each bounded in idle time. */
+/* Listens on `address` ("IP address:port") for at most `conns` connections, each of which is closed
+ * after `idle_s` seconds without traffic. Returns NULL and sets `error` if the server cannot listen
+ * there. */
 KrHttpServer *kr_http_server_new (const char *address, guint conns, guint idle_s,
                                   GCancellable *cancel, KrHttpHandler handler, gpointer data,
                                   GError **error);
+/* Stops listening and closes the connections. */
 void kr_http_server_free (KrHttpServer *server);
 
 const char *kr_request_method (KrRequest *request);
 const char *kr_request_path (KrRequest *request);  /* without the query */
-const char *kr_request_query (KrRequest *request); /* what follows "?", or NULL */
-/* NULL if the body is no JSON value. Borrowed. */
+const char *kr_request_query (KrRequest *request); /* the text after "?", or NULL */
+/* Returns the body, which belongs to the request, or NULL if the body is not JSON. */
 json_t *kr_request_json (KrRequest *request);
+/* Whether the client has closed the connection, so that an answer cannot reach it. */
 gboolean kr_request_disconnected (KrRequest *request);
-/* Answers and lets go of the request. Takes over `body`; retry_after_s 0: no such header. */
+/* Answers the request and frees it. Takes over `body`; NULL stands for an empty object. With
+ * `retry_after_s` 0 there is no Retry-After header. */
 void kr_request_reply (KrRequest *request, guint status, json_t *body, guint retry_after_s);
