--- a/src/http-server.h
+++ b/src/http-server.h
@@ -22,7 +22,7 @@
 const char *kr_request_method (KrRequest *request);
 const char *kr_request_path (KrRequest *request);  /* without the query */
 const char *kr_request_query (KrRequest *request); /* the text after "?", or NULL */
-/* Returns the body, which belongs to the request, or NULL if the body is not JSON. */
+/* Returns the body, which belongs to the request, or NULL if it is not a JSON object or array. */
 json_t *kr_request_json (KrRequest *request);
 /* Whether the client has closed the connection, so that an answer cannot reach it. */
 gboolean kr_request_disconnected (KrRequest *request);
--- a/src/wire.c
+++ b/src/wire.c
@@ -2,9 +2,10 @@
 #include <math.h>
 #include <string.h>
 
-/* --- reading fields ------------------------------------------------------------------ */
+/* --- access to JSON fields ----------------------------------------------------------- */
+/* The get functions return NULL, 0 or FALSE if the field is missing or of another type. */
 static const char *
-str (json_t *o, const char *field)
+get_string (json_t *o, const char *field)
 {
   return json_string_value (json_object_get (o, field));
 }
@@ -17,29 +18,29 @@
 }
 
 static guint64
-uint_of (json_t *o, const char *field)
+get_uint (json_t *o, const char *field)
 {
   json_t *v = json_object_get (o, field);
   return json_is_integer (v) && json_integer_value (v) >= 0 ? (guint64) json_integer_value (v) : 0;
 }
 
 static double
-num (json_t *o, const char *field)
+get_number (json_t *o, const char *field)
 {
   return json_number_value (json_object_get (o, field));
 }
 
 static gboolean
-truth (json_t *o, const char *field)
+get_bool (json_t *o, const char *field)
 {
   return json_is_true (json_object_get (o, field));
 }
 
 /* --- users --------------------------------------------------------------------------- */
-#define JOB_PREFIX "wk-"
-static const char *const rank_words[] = { "idle", "normal", "urgent", "critical" };
-static const char *const form_words[] = { "array", "gang", "service" };
-static const char *const job_words[] = { "pending", "running", "done", "cancelled" };
+#define JOB_ID_PREFIX "wk-"
+static const char *const priority_names[] = { "idle", "normal", "urgent", "critical" };
+static const char *const job_kind_names[] = { "array", "gang", "service" };
+static const char *const job_state_names[] = { "pending", "running", "done", "cancelled" };
 
 void
 kr_job_spec_free (KrJobSpec *spec)
@@ -57,16 +58,17 @@
 kr_wire_is_job_id (const char *id)
 {
   gsize n = id ? strlen (id) : 0;
-  if (n <= strlen (JOB_PREFIX) || n > 64 || !g_str_has_prefix (id, JOB_PREFIX))
+  if (n <= strlen (JOB_ID_PREFIX) || n > 64 || !g_str_has_prefix (id, JOB_ID_PREFIX))
     return FALSE;
-  for (const char *p = id + strlen (JOB_PREFIX); *p; p++)
+  for (const char *p = id + strlen (JOB_ID_PREFIX); *p; p++)
     if (!g_ascii_isdigit (*p))
       return FALSE;
   return TRUE;
 }
 
+/* Keeps the first error. Always returns FALSE. */
 static gboolean
-bad (GError **error, const char *field)
+set_field_error (GError **error, const char *field)
 {
   if (error && !*error)
     g_set_error (error, KR_SETTINGS_ERROR, 2, "%s is missing or invalid", field);
@@ -74,115 +76,115 @@
 }
 
 static gboolean
-plain (const char *s)
+is_valid_string (const char *s)
 {
   gsize n = s ? strlen (s) : 0;
   return n > 0 && n <= 128 && g_utf8_validate (s, n, NULL);
 }
 
 static char *
-need_str (json_t *o, const char *field, GError **error)
+require_string (json_t *o, const char *field, GError **error)
 {
-  const char *s = str (o, field);
-  if (!plain (s)) {
-    bad (error, field);
+  const char *s = get_string (o, field);
+  if (!is_valid_string (s)) {
+    set_field_error (error, field);
     return NULL;
   }
   return g_strdup (s);
 }
 
 static char *
-maybe_str (json_t *o, const char *field, GError **error)
+optional_string (json_t *o, const char *field, GError **error)
 {
-  return is_null (o, field) ? NULL : need_str (o, field, error);
+  return is_null (o, field) ? NULL : require_string (o, field, error);
 }
 
 static double
-need_num (json_t *o, const char *field, double least, double most, GError **error)
+require_number (json_t *o, const char *field, double minimum, double maximum, GError **error)
 {
   json_t *v = json_object_get (o, field);
   double x = json_number_value (v);
-  if (!json_is_number (v) || !(x >= least && x <= most))
-    bad (error, field);
+  if (!json_is_number (v) || !(x >= minimum && x <= maximum))
+    set_field_error (error, field);
   return x;
 }
 
 static gboolean
-need_bool (json_t *o, const char *field, GError **error)
+require_bool (json_t *o, const char *field, GError **error)
 {
   json_t *v = json_object_get (o, field);
   if (!json_is_boolean (v))
-    bad (error, field);
+    set_field_error (error, field);
   return json_is_true (v);
 }
 
 static guint
-word_of (json_t *o, const char *field, const char *const *words, guint n, GError **error)
+require_enum (json_t *o, const char *field, const char *const *names, guint n, GError **error)
 {
-  const char *s = str (o, field);
-  for (guint i = 0; s && i < n; i++)
-    if (g_str_equal (s, words[i]))
+  const char *name = get_string (o, field);
+  for (guint i = 0; name && i < n; i++)
+    if (g_str_equal (name, names[i]))
       return i;
-  bad (error, field);
+  set_field_error (error, field);
   return 0;
 }
 
-/* Only what may be null may be missing: Hulls, Harbor, TideS. */
+/* Only the fields that may be null may be missing: Hulls, Harbor and TideS. */
 KrJobSpec *
 kr_wire_spec_parse (json_t *body, GError **error)
 {
-  g_autoptr (KrJobSpec) s = g_new0 (KrJobSpec, 1);
-  GError *fault = NULL;
+  g_autoptr (KrJobSpec) spec = g_new0 (KrJobSpec, 1);
+  GError *err = NULL;
 
   if (!json_is_object (body)) {
-    bad (error, "the body");
+    set_field_error (error, "the body");
     return NULL;
   }
-  s->id = need_str (body, "Id", &fault);
-  if (s->id && !kr_wire_is_job_id (s->id))
-    bad (&fault, "Id");
-  s->job_class = need_str (body, "Lane", &fault);
-  s->team = need_str (body, "Crew", &fault);
-  s->kind = word_of (body, "Form", form_words, G_N_ELEMENTS (form_words), &fault);
-  s->priority = word_of (body, "Rank", rank_words, G_N_ELEMENTS (rank_words), &fault);
+  spec->id = require_string (body, "Id", &err);
+  if (spec->id && !kr_wire_is_job_id (spec->id))
+    set_field_error (&err, "Id");
+  spec->job_class = require_string (body, "Lane", &err);
+  spec->team = require_string (body, "Crew", &err);
+  spec->kind = require_enum (body, "Form", job_kind_names, G_N_ELEMENTS (job_kind_names), &err);
+  spec->priority = require_enum (body, "Rank", priority_names, G_N_ELEMENTS (priority_names), &err);
   if (!json_is_integer (json_object_get (body, "Shifts")))
-    bad (&fault, "Shifts");
-  s->tasks = (guint) need_num (body, "Shifts", 1, 100000, &fault);
-  s->cpus = need_num (body, "Cores", 0, 1e6, &fault);
-  s->gpus = need_num (body, "Accelerators", 0, 1e6, &fault);
-  s->mem_gb = need_num (body, "MemGb", 0, 1e7, &fault);
-  s->image = need_str (body, "Cargo", &fault);
-  s->image_gb = need_num (body, "PullGb", 0, 1e6, &fault);
+    set_field_error (&err, "Shifts");
+  spec->tasks = (guint) require_number (body, "Shifts", 1, 100000, &err);
+  spec->cpus = require_number (body, "Cores", 0, 1e6, &err);
+  spec->gpus = require_number (body, "Accelerators", 0, 1e6, &err);
+  spec->mem_gb = require_number (body, "MemGb", 0, 1e7, &err);
+  spec->image = require_string (body, "Cargo", &err);
+  spec->image_gb = require_number (body, "PullGb", 0, 1e6, &err);
   if (!is_null (body, "Hulls")) {
-    json_t *a = json_object_get (body, "Hulls"), *v;
-    size_t i, n = json_array_size (a);
-    if (!json_is_array (a) || n == 0 || n > 64)
-      bad (&fault, "Hulls");
+    json_t *types = json_object_get (body, "Hulls"), *type;
+    size_t i, n = json_array_size (types);
+    if (!json_is_array (types) || n == 0 || n > 64)
+      set_field_error (&err, "Hulls");
     else {
-      s->types = g_new0 (char *, n + 1);
-      json_array_foreach (a, i, v)
+      spec->types = g_new0 (char *, n + 1);
+      json_array_foreach (types, i, type)
       {
-        if (!plain (json_string_value (v))) {
-          bad (&fault, "Hulls");
+        if (!is_valid_string (json_string_value (type))) {
+          set_field_error (&err, "Hulls");
           break;
         }
-        s->types[i] = g_strdup (json_string_value (v));
+        spec->types[i] = g_strdup (json_string_value (type));
       }
     }
   }
-  s->zone = maybe_str (body, "Harbor", &fault);
-  s->one_zone = need_bool (body, "OneZone", &fault);
-  s->spread_zones = need_bool (body, "Apart", &fault);
-  s->spot_allowed = need_bool (body, "Driftwood", &fault);
-  s->run_estimate_s = need_num (body, "SailS", 0, 1e9, &fault);
-  s->checkpoint_interval_s = need_num (body, "MooringS", 0, 1e9, &fault);
-  s->checkpoint_save_s = need_num (body, "StowS", 0, 1e9, &fault);
-  s->deadline_s = is_null (body, "TideS") ? NAN : need_num (body, "TideS", 0, 1e9, &fault);
-  if (fault) {
-    g_propagate_error (error, fault);
+  spec->zone = optional_string (body, "Harbor", &err);
+  spec->one_zone = require_bool (body, "OneZone", &err);
+  spec->spread_zones = require_bool (body, "Apart", &err);
+  spec->spot_allowed = require_bool (body, "Driftwood", &err);
+  spec->run_estimate_s = require_number (body, "SailS", 0, 1e9, &err);
+  spec->checkpoint_interval_s = require_number (body, "MooringS", 0, 1e9, &err);
+  spec->checkpoint_save_s = require_number (body, "StowS", 0, 1e9, &err);
+  spec->deadline_s = is_null (body, "TideS") ? NAN : require_number (body, "TideS", 0, 1e9, &err);
+  if (err) {
+    g_propagate_error (error, err);
     return NULL;
   }
-  return g_steal_pointer (&s);
+  return g_steal_pointer (&spec);
 }
 
 static json_t *
@@ -197,13 +199,13 @@
   json_t *types = json_null ();
   if (spec->types) {
     types = json_array ();
-    for (char **t = spec->types; *t; t++)
-      json_array_append_new (types, json_string (*t));
+    for (char **type = spec->types; *type; type++)
+      json_array_append_new (types, json_string (*type));
   }
   return json_pack ("{ss ss ss ss ss sI sf sf sf ss sf so so sb sb sb sf sf sf so}", "Id", spec->id,
-                    "Lane", spec->job_class, "Crew", spec->team, "Form", form_words[spec->kind],
-                    "Rank", rank_words[spec->priority], "Shifts", (json_int_t) spec->tasks, "Cores",
-                    spec->cpus, "Accelerators", spec->gpus, "MemGb", spec->mem_gb, "Cargo",
+                    "Lane", spec->job_class, "Crew", spec->team, "Form", job_kind_names[spec->kind],
+                    "Rank", priority_names[spec->priority], "Shifts", (json_int_t) spec->tasks,
+                    "Cores", spec->cpus, "Accelerators", spec->gpus, "MemGb", spec->mem_gb, "Cargo",
                     spec->image, "PullGb", spec->image_gb, "Hulls", types, "Harbor",
                     string_or_null (spec->zone), "OneZone", spec->one_zone, "Apart",
                     spec->spread_zones, "Driftwood", spec->spot_allowed, "SailS",
@@ -215,18 +217,19 @@
 const char *
 kr_wire_job_state (KrJobState state)
 {
-  return job_words[state];
+  return job_state_names[state];
 }
 
 json_t *
-kr_wire_job_answer (const char *id, KrJobState state, gboolean counts, guint done, guint running)
+kr_wire_job_answer (const char *id, KrJobState state, gboolean with_counts, guint done,
+                    guint running)
 {
-  json_t *o = json_pack ("{ss ss}", "Id", id, "Bearing", job_words[state]);
-  if (counts) {
-    json_object_set_new (o, "done", json_integer (done));
-    json_object_set_new (o, "running", json_integer (running));
+  json_t *answer = json_pack ("{ss ss}", "Id", id, "Bearing", job_state_names[state]);
+  if (with_counts) {
+    json_object_set_new (answer, "done", json_integer (done));
+    json_object_set_new (answer, "running", json_integer (running));
   }
-  return o;
+  return answer;
 }
 
 json_t *
@@ -248,13 +251,13 @@
     return post ? KR_ROUTE_SUBMIT : KR_ROUTE_BAD_METHOD;
   if (!g_str_has_prefix (path, "/api/jobs/"))
     return KR_ROUTE_NONE;
-  const char *rest = path + strlen ("/api/jobs/");
-  const char *slash = strchr (rest, '/');
+  const char *suffix = path + strlen ("/api/jobs/");
+  const char *slash = strchr (suffix, '/');
   if (slash && !g_str_equal (slash, "/abort"))
     return KR_ROUTE_NONE;
   if (slash ? !post : !get)
     return KR_ROUTE_BAD_METHOD;
-  *id = slash ? g_strndup (rest, slash - rest) : g_strdup (rest);
+  *id = slash ? g_strndup (suffix, slash - suffix) : g_strdup (suffix);
   return slash ? KR_ROUTE_ABORT : KR_ROUTE_POLL;
 }
 
@@ -273,30 +276,30 @@
 }
 
 static KrTaskState
-task_state (const char *s)
+parse_task_state (const char *name)
 {
-  if (g_strcmp0 (s, "pulling") == 0 || g_strcmp0 (s, "gathering") == 0)
+  if (g_strcmp0 (name, "pulling") == 0 || g_strcmp0 (name, "gathering") == 0)
     return KR_TASK_PULLING;
-  if (g_strcmp0 (s, "saving") == 0)
+  if (g_strcmp0 (name, "saving") == 0)
     return KR_TASK_SAVING;
-  if (g_strcmp0 (s, "exited") == 0)
+  if (g_strcmp0 (name, "exited") == 0)
     return KR_TASK_EXITED;
   return KR_TASK_RUNNING;
 }
 
 static KrExitReason
-why (const char *s)
+parse_exit_reason (const char *name)
 {
-  if (!s)
+  if (!name)
     return KR_EXIT_NONE;
-  if (g_str_equal (s, "done"))
+  if (g_str_equal (name, "done"))
     return KR_EXIT_DONE;
-  /* A gang's tasks end by themselves when others are missing: no failure of theirs. */
-  if (g_str_equal (s, "stopped") || g_str_equal (s, "peers") || g_str_equal (s, "alone"))
+  /* A task of a gang ends by itself when other tasks of the gang are missing. It has not failed. */
+  if (g_str_equal (name, "stopped") || g_str_equal (name, "peers") || g_str_equal (name, "alone"))
     return KR_EXIT_STOPPED;
-  if (g_str_equal (s, "no_room") || g_str_equal (s, "in_use"))
+  if (g_str_equal (name, "no_room") || g_str_equal (name, "in_use"))
     return KR_EXIT_REFUSED;
-  if (g_str_equal (s, "unknown"))
+  if (g_str_equal (name, "unknown"))
     return KR_EXIT_UNKNOWN;
   return KR_EXIT_ERROR;
 }
@@ -304,35 +307,37 @@
 KrReport *
 kr_wire_report_parse (json_t *body)
 {
-  g_autoptr (KrReport) r = g_new0 (KrReport, 1);
-  json_t *tasks = json_object_get (body, "Shifts"), *t;
+  g_autoptr (KrReport) report = g_new0 (KrReport, 1);
+  json_t *tasks = json_object_get (body, "Shifts"), *task;
   size_t i;
 
-  r->tasks = g_array_new (FALSE, TRUE, sizeof (KrTaskReport));
-  if (!str (body, "Berth") || !str (body, "Endpoint") || !str (body, "Hull") ||
-      !str (body, "Harbor") || uint_of (body, "Watch") == 0)
+  report->tasks = g_array_new (FALSE, TRUE, sizeof (KrTaskReport));
+  if (!get_string (body, "Berth") || !get_string (body, "Endpoint") || !get_string (body, "Hull") ||
+      !get_string (body, "Harbor") || get_uint (body, "Watch") == 0)
     return NULL;
-  r->machine = g_strdup (str (body, "Berth"));
-  r->endpoint = g_strdup (str (body, "Endpoint"));
-  r->type = g_strdup (str (body, "Hull"));
-  r->zone = g_strdup (str (body, "Harbor"));
-  r->spot = truth (body, "Driftwood");
-  r->session = uint_of (body, "Watch");
-  r->seq = uint_of (body, "Log");
-  r->token = uint_of (body, "Helm");
-  r->reclaim_notice_s = is_null (body, "RecallS") ? NAN : num (body, "RecallS");
-  json_array_foreach (tasks, i, t)
+  report->machine = g_strdup (get_string (body, "Berth"));
+  report->endpoint = g_strdup (get_string (body, "Endpoint"));
+  report->type = g_strdup (get_string (body, "Hull"));
+  report->zone = g_strdup (get_string (body, "Harbor"));
+  report->spot = get_bool (body, "Driftwood");
+  report->session = get_uint (body, "Watch");
+  report->seq = get_uint (body, "Log");
+  report->token = get_uint (body, "Helm");
+  report->reclaim_notice_s = is_null (body, "RecallS") ? NAN : get_number (body, "RecallS");
+  json_array_foreach (tasks, i, task)
   {
-    const char *name = str (t, "Shift");
+    const char *name = get_string (task, "Shift");
     const char *slash = name ? strrchr (name, '/') : NULL;
     guint64 index;
     if (!slash || !g_ascii_string_to_unsigned (slash + 1, 10, 0, G_MAXUINT, &index, NULL))
       return NULL;
-    KrTaskReport k = { g_strndup (name, slash - name), (guint) index, uint_of (t, "Launch"),
-                       task_state (str (t, "Bearing")), why (str (t, "Wreck")) };
-    g_array_append_val (r->tasks, k);
+    KrTaskReport task_report = { g_strndup (name, slash - name), (guint) index,
+                                 get_uint (task, "Launch"),
+                                 parse_task_state (get_string (task, "Bearing")),
+                                 parse_exit_reason (get_string (task, "Wreck")) };
+    g_array_append_val (report->tasks, task_report);
   }
-  return g_steal_pointer (&r);
+  return g_steal_pointer (&report);
 }
 
 json_t *
@@ -344,39 +349,39 @@
 json_t *
 kr_wire_commands_new (guint64 token, guint64 session)
 {
-  json_t *o = kr_wire_orders_new (token);
-  json_object_set_new (o, "Watch", json_integer ((json_int_t) session));
-  return o;
+  json_t *commands = kr_wire_orders_new (token);
+  json_object_set_new (commands, "Watch", json_integer ((json_int_t) session));
+  return commands;
 }
 
 static json_t *
-order (json_t *orders, const char *word, const char *job, guint index, guint64 attempt_id)
+append_order (json_t *orders, const char *kind, const char *job, guint index, guint64 attempt_id)
 {
-  g_autofree char *shift = g_strdup_printf ("%s/%u", job, index);
-  json_t *o =
-      json_pack ("{ss ss sI}", "Order", word, "Shift", shift, "Launch", (json_int_t) attempt_id);
-  json_array_append_new (json_object_get (orders, "Orders"), o);
-  return o;
+  g_autofree char *task_name = g_strdup_printf ("%s/%u", job, index);
+  json_t *order = json_pack ("{ss ss sI}", "Order", kind, "Shift", task_name, "Launch",
+                             (json_int_t) attempt_id);
+  json_array_append_new (json_object_get (orders, "Orders"), order);
+  return order;
 }
 
 void
 kr_wire_order_run (json_t *orders, const char *job, guint index, guint64 attempt_id)
 {
-  order (orders, "run", job, index, attempt_id);
+  append_order (orders, "run", job, index, attempt_id);
 }
 
 void
 kr_wire_order_kill (json_t *orders, const char *job, guint index, guint64 attempt_id,
-                    double slack_s)
+                    double grace_s)
 {
-  json_object_set_new (order (orders, "kill", job, index, attempt_id), "SlackS",
-                       json_real (slack_s));
+  json_object_set_new (append_order (orders, "kill", job, index, attempt_id), "SlackS",
+                       json_real (grace_s));
 }
 
 void
 kr_wire_order_clear (json_t *orders, const char *job, guint index, guint64 attempt_id)
 {
-  order (orders, "clear", job, index, attempt_id);
+  append_order (orders, "clear", job, index, attempt_id);
 }
 
 guint
@@ -386,9 +391,9 @@
 }
 
 json_t *
-kr_wire_redirect (const char *node)
+kr_wire_redirect (const char *owner)
 {
-  return node ? json_pack ("{ss}", "Harbormaster", node) : json_object ();
+  return owner ? json_pack ("{ss}", "Harbormaster", owner) : json_object ();
 }
 
 /* --- cloud --------------------------------------------------------------------------- */
@@ -404,31 +409,31 @@
 GPtrArray *
 kr_wire_types_parse (json_t *body)
 {
-  json_t *a = json_object_get (body, "Hulls"), *o, *z;
+  json_t *array = json_object_get (body, "Hulls"), *o, *zone;
   size_t i, k;
-  if (!json_is_array (a))
+  if (!json_is_array (array))
     return NULL;
-  g_autoptr (GPtrArray) out = g_ptr_array_new_with_free_func (kr_machine_type_free);
-  json_array_foreach (a, i, o)
+  g_autoptr (GPtrArray) types = g_ptr_array_new_with_free_func (kr_machine_type_free);
+  json_array_foreach (array, i, o)
   {
     json_t *zones = json_object_get (o, "Harbors");
-    if (!str (o, "Name") || !json_is_array (zones))
+    if (!get_string (o, "Name") || !json_is_array (zones))
       return NULL;
     KrMachineType *type = g_new0 (KrMachineType, 1);
-    g_ptr_array_add (out, type);
-    type->name = g_strdup (str (o, "Name"));
-    type->cpus = num (o, "Cores");
-    type->gpus = num (o, "Accelerators");
-    type->mem_gb = num (o, "MemGb");
-    type->cache_gb = num (o, "CacheGb");
-    type->image_pull_gb_per_s = num (o, "PullGbPerS");
-    type->price = num (o, "Rate");
-    type->spot_price = num (o, "MarketPrice");
-    type->boot_s = num (o, "ReadyS");
+    g_ptr_array_add (types, type);
+    type->name = g_strdup (get_string (o, "Name"));
+    type->cpus = get_number (o, "Cores");
+    type->gpus = get_number (o, "Accelerators");
+    type->mem_gb = get_number (o, "MemGb");
+    type->cache_gb = get_number (o, "CacheGb");
+    type->image_pull_gb_per_s = get_number (o, "PullGbPerS");
+    type->price = get_number (o, "Rate");
+    type->spot_price = get_number (o, "MarketPrice");
+    type->boot_s = get_number (o, "ReadyS");
     type->zones = g_new0 (char *, json_array_size (zones) + 1);
-    json_array_foreach (zones, k, z) type->zones[k] = g_strdup (json_string_value (z));
+    json_array_foreach (zones, k, zone) type->zones[k] = g_strdup (json_string_value (zone));
   }
-  return g_steal_pointer (&out);
+  return g_steal_pointer (&types);
 }
 
 void
@@ -453,56 +458,57 @@
 char **
 kr_wire_rental_machines (json_t *body)
 {
-  json_t *a = json_object_get (body, "Berths"), *v;
+  json_t *machines = json_object_get (body, "Berths"), *id;
   size_t i;
-  if (!json_is_array (a))
+  if (!json_is_array (machines))
     return NULL;
-  char **ids = g_new0 (char *, json_array_size (a) + 1);
-  json_array_foreach (a, i, v) ids[i] = g_strdup (json_is_string (v) ? json_string_value (v) : "");
+  char **ids = g_new0 (char *, json_array_size (machines) + 1);
+  json_array_foreach (machines, i, id) ids[i] =
+      g_strdup (json_is_string (id) ? json_string_value (id) : "");
   return ids;
 }
 
 json_t *
 kr_wire_deletion_request (char **ids)
 {
-  json_t *a = json_array ();
+  json_t *machines = json_array ();
   for (; *ids; ids++)
-    json_array_append_new (a, json_string (*ids));
-  return json_pack ("{so}", "Berths", a);
+    json_array_append_new (machines, json_string (*ids));
+  return json_pack ("{so}", "Berths", machines);
 }
 
 char *
-kr_wire_machine_list_path (const char *after, guint limit)
+kr_wire_machine_list_path (const char *after_id, guint page_size)
 {
-  return g_strdup_printf ("/rentals?%s%s%sPage=%u", after ? "From=" : "", after ? after : "",
-                          after ? "&" : "", limit);
+  return g_strdup_printf ("/rentals?%s%s%sPage=%u", after_id ? "From=" : "",
+                          after_id ? after_id : "", after_id ? "&" : "", page_size);
 }
 
 gboolean
 kr_wire_machine_list_parse (json_t *body, GPtrArray *out, gboolean *more)
 {
-  json_t *a = json_object_get (body, "Berths"), *o;
+  json_t *machines = json_object_get (body, "Berths"), *o;
   size_t i;
-  if (!json_is_array (a))
+  if (!json_is_array (machines))
     return FALSE;
-  json_array_foreach (a, i, o)
+  json_array_foreach (machines, i, o)
   {
-    if (!str (o, "Id") || !str (o, "Hull") || !str (o, "Harbor"))
+    if (!get_string (o, "Id") || !get_string (o, "Hull") || !get_string (o, "Harbor"))
       return FALSE;
-    const char *s = str (o, "Bearing");
+    const char *state = get_string (o, "Bearing");
     KrListedMachine *listed = g_new0 (KrListedMachine, 1);
     g_ptr_array_add (out, listed);
-    listed->id = g_strdup (str (o, "Id"));
-    listed->endpoint = g_strdup (str (o, "Endpoint"));
-    listed->type = g_strdup (str (o, "Hull"));
-    listed->zone = g_strdup (str (o, "Harbor"));
-    listed->spot = truth (o, "Driftwood");
-    listed->state = g_strcmp0 (s, "starting") == 0 ? KR_MACHINE_STARTING
-                    : g_strcmp0 (s, "failed") == 0 ? KR_MACHINE_FAILED
-                                                   : KR_MACHINE_RUNNING;
-    listed->age_s = num (o, "HeldS");
+    listed->id = g_strdup (get_string (o, "Id"));
+    listed->endpoint = g_strdup (get_string (o, "Endpoint"));
+    listed->type = g_strdup (get_string (o, "Hull"));
+    listed->zone = g_strdup (get_string (o, "Harbor"));
+    listed->spot = get_bool (o, "Driftwood");
+    listed->state = g_strcmp0 (state, "starting") == 0 ? KR_MACHINE_STARTING
+                    : g_strcmp0 (state, "failed") == 0 ? KR_MACHINE_FAILED
+                                                       : KR_MACHINE_RUNNING;
+    listed->age_s = get_number (o, "HeldS");
   }
-  *more = truth (body, "More");
+  *more = get_bool (body, "More");
   return TRUE;
 }
 
@@ -511,7 +517,7 @@
 kr_txn_new (void)
 {
   KrTxn *txn = g_new0 (KrTxn, 1);
-  txn->when = json_array ();
+  txn->preconditions = json_array ();
   txn->writes = json_array ();
   return txn;
 }
@@ -519,7 +525,7 @@
 void
 kr_txn_free (KrTxn *txn)
 {
-  json_decref (txn->when);
+  json_decref (txn->preconditions);
   json_decref (txn->writes);
   g_free (txn);
 }
@@ -527,17 +533,17 @@
 void
 kr_txn_expect_revision (KrTxn *txn, const char *key, guint64 revision)
 {
-  json_array_append_new (txn->when,
+  json_array_append_new (txn->preconditions,
                          json_pack ("{ss sI}", "Key", key, "Mark", (json_int_t) revision));
 }
 
 void
 kr_txn_put (KrTxn *txn, const char *key, json_t *value, guint64 lease)
 {
-  json_t *o = json_pack ("{ss so}", "Put", key, "Value", value);
+  json_t *put = json_pack ("{ss so}", "Put", key, "Value", value);
   if (lease)
-    json_object_set_new (o, "Permit", json_integer ((json_int_t) lease));
-  json_array_append_new (txn->writes, o);
+    json_object_set_new (put, "Permit", json_integer ((json_int_t) lease));
+  json_array_append_new (txn->writes, put);
 }
 
 void
@@ -555,7 +561,7 @@
 json_t *
 kr_txn_to_json (KrTxn *txn)
 {
-  return json_pack ("{sO sO}", "When", txn->when, "Writes", txn->writes);
+  return json_pack ("{sO sO}", "When", txn->preconditions, "Writes", txn->writes);
 }
 
 char *
@@ -565,23 +571,23 @@
 }
 
 char *
-kr_wire_store_list_path (const char *prefix, const char *after, guint limit)
+kr_wire_store_list_path (const char *prefix, const char *after_key, guint page_size)
 {
-  return g_strdup_printf ("/store?Prefix=%s%s%s&Page=%u", prefix, after ? "&From=" : "",
-                          after ? after : "", limit);
+  return g_strdup_printf ("/store?Prefix=%s%s%s&Page=%u", prefix, after_key ? "&From=" : "",
+                          after_key ? after_key : "", page_size);
 }
 
 char *
-kr_wire_watch_path (const char *prefix, guint64 after, guint hold_ms)
+kr_wire_watch_path (const char *prefix, guint64 after_revision, guint hold_ms)
 {
-  return g_strdup_printf ("/follow?Prefix=%s&From=%" G_GUINT64_FORMAT "&HoldMs=%u", prefix, after,
-                          hold_ms);
+  return g_strdup_printf ("/follow?Prefix=%s&From=%" G_GUINT64_FORMAT "&HoldMs=%u", prefix,
+                          after_revision, hold_ms);
 }
 
 json_t *
-kr_wire_lease_request (guint life_ms)
+kr_wire_lease_request (guint ttl_ms)
 {
-  return json_pack ("{sI}", "LifeMs", (json_int_t) life_ms);
+  return json_pack ("{sI}", "LifeMs", (json_int_t) ttl_ms);
 }
 
 char *
@@ -599,28 +605,28 @@
 guint64
 kr_wire_lease_parse (json_t *body)
 {
-  return uint_of (body, "Permit");
+  return get_uint (body, "Permit");
 }
 
 guint64
 kr_wire_revision (json_t *body)
 {
-  return uint_of (body, "Ledger");
+  return get_uint (body, "Ledger");
 }
 
 gboolean
 kr_wire_key_value_parse (json_t *body, KrKeyValue *item)
 {
-  item->key = str (body, "Key");
+  item->key = get_string (body, "Key");
   item->value = json_object_get (body, "Value");
-  item->revision = uint_of (body, "Mark");
+  item->revision = get_uint (body, "Mark");
   return item->key != NULL;
 }
 
 json_t *
 kr_wire_store_list_items (json_t *body, gboolean *more)
 {
-  *more = truth (body, "More");
+  *more = get_bool (body, "More");
   return json_object_get (body, "Items");
 }
 
@@ -633,20 +639,20 @@
 gboolean
 kr_wire_watch_event_parse (json_t *event, KrKeyValue *item)
 {
-  item->key = str (event, "Put");
+  item->key = get_string (event, "Put");
   item->value = item->key ? json_object_get (event, "Value") : NULL;
   if (!item->key)
-    item->key = str (event, "Remove");
-  item->revision = uint_of (event, "Mark");
+    item->key = get_string (event, "Remove");
+  item->revision = get_uint (event, "Mark");
   return item->key != NULL;
 }
 
 gboolean
 kr_wire_commit_failed_on (json_t *body, const char *key)
 {
-  json_t *v;
+  json_t *name;
   size_t i;
   json_array_foreach (json_object_get (body, "failed"), i,
-                      v) if (g_strcmp0 (json_string_value (v), key) == 0) return TRUE;
+                      name) if (g_strcmp0 (json_string_value (name), key) == 0) return TRUE;
   return FALSE;
 }
