--- a/src/settings.h
+++ b/src/settings.h
@@ -1,35 +1,48 @@
-/* The settings file that the platform hands over, checked field by field. */
+/* The settings file (TOML) that the platform provides, with a check of each field. Unknown fields
+ * are ignored. */
 #pragma once
 #include <glib.h>
 #include <jansson.h>
 
+/* A team with its guaranteed resources (cpus, gpus) and its quota (cpus_max, gpus_max). 0: none. */
 typedef struct {
   char *name;
-  double cpus, cpus_max, gpus, gpus_max; /* 0: none */
+  double cpus, cpus_max, gpus, gpus_max;
 } KrTeam;
 
+/* A service level objective of a job class. */
 typedef struct {
-  char *kind, *job_class;
-  double share, within_s;
+  char *kind;      /* "finished": the job is done; "wait": its tasks have started */
+  char *job_class; /* NULL: none given */
+  double share;    /* of the jobs; not used */
+  double within_s; /* from the job's submission */
 } KrObjective;
 
+/* Another node, with the address at which it serves its peers. */
 typedef struct {
   char *name, *zone, *addr;
 } KrPeerSettings;
 
 typedef struct {
-  char *node_name, *zone, *client_listen, *internal_addr, *cloud, *state;
-  GPtrArray *peers;      /* KrPeerSettings */
-  GPtrArray *node_names; /* all node names, sorted: the index is a node's home part */
-  guint self_index;      /* our place in names */
-  guint shard_count;
+  char *node_name, *zone;
+  /* Addresses ("IP address:port"): for users and workers, for peers, of the cloud and of the state
+   * service. */
+  char *client_listen, *internal_addr, *cloud, *state;
+  GPtrArray *peers;      /* KrPeerSettings: the other nodes */
+  GPtrArray *node_names; /* sorted; the index of a node is the index of its home shard */
+  guint self_index;      /* of this node in node_names */
+  guint shard_count;     /* setting `size` */
   GPtrArray *teams;      /* KrTeam */
   GPtrArray *objectives; /* KrObjective */
   double clock_error_s;
-  double report_interval_s, worker_lease_s, cancel_limit_s;
+  double report_interval_s, worker_lease_s;
+  double cancel_limit_s; /* time within which the tasks of a cancelled job must end */
+  /* Limits of the state service, for all nodes together: requests a second, puts and removes a
+   * second, size of a value, and puts and removes in a transaction. */
   double state_rps, state_write_rps, state_value_kb;
   guint state_txn_ops;
-  double cloud_rps, cloud_list_lag_s;
+  double cloud_rps;        /* requests a second, for all nodes together */
+  double cloud_list_lag_s; /* lag of the cloud's machine list */
   double core_share, ram_mb;
   guint sockets;
 } KrSettings;
@@ -37,23 +50,28 @@
 #define KR_SETTINGS_ERROR (kr_settings_error_quark ())
 GQuark kr_settings_error_quark (void);
 
+/* Returns NULL and sets `error`, which names the file or the field, if the file cannot be read or a
+ * setting is invalid. */
 KrSettings *kr_settings_load (const char *path, GError **error);
-/* The checks alone, on a tree that stands for the file. */
+/* The same for a JSON tree with the contents of a settings file. */
 KrSettings *kr_settings_from_json (json_t *root, GError **error);
 void kr_settings_free (KrSettings *settings);
 G_DEFINE_AUTOPTR_CLEANUP_FUNC (KrSettings, kr_settings_free)
 
-/* NULL if there is no such other node. */
+/* Returns NULL if there is no other node of this name. */
 const KrPeerSettings *kr_settings_peer (const KrSettings *settings, const char *name);
-/* NULL if the team is unknown. */
+/* Returns NULL if the team is unknown. */
 const KrTeam *kr_settings_team (const KrSettings *settings, const char *name);
-/* The part that a team belongs to: its place in the file, dealt round the parts. */
+/* Returns the shard of a team. The teams are assigned to the shards round-robin, in the order of
+ * the settings file. */
 guint kr_settings_shard_of_team (const KrSettings *settings, const char *name);
-/* Seconds from submission within which a job of the class should finish; a stated default. */
+/* Returns the time from its submission within which a job of the class should finish, by its
+ * objective or by default. */
 double kr_settings_finish_goal_s (const KrSettings *settings, const char *job_class);
-
-/* Seconds within which its tasks should start; a stated default. */
+/* Returns the time from its submission within which tasks of a job of the class should start, by
+ * its objective or by default. */
 double kr_settings_start_goal_s (const KrSettings *settings, const char *job_class);
 
-/* settings_toml.cpp: the file as a JSON tree, or NULL and a message to free with g_free. */
+/* Reads a TOML file into a JSON tree (settings_toml.cpp). Returns NULL and sets *message, which the
+ * caller frees with g_free(), if the file cannot be read or is not valid. */
 json_t *kr_toml_load (const char *path, char **message);
--- a/src/settings_toml.cpp
+++ b/src/settings_toml.cpp
@@ -1,5 +1,5 @@
-// The only C++ of the project: Debian has no TOML library for C, so toml11 reads the file and hands
-// it over as a JSON tree.
+// Reads a TOML file with toml11 and converts it to a JSON tree. This is the only C++ file of the
+// project: Debian has no TOML library for C.
 #include <fstream>
 #include <glib.h>
 #include <jansson.h>
