--- a/src/settings_toml.cpp
+++ b/src/settings_toml.cpp
@@ -6,27 +6,27 @@
 #include <toml.hpp>
 
 static json_t *
-convert (const toml::value &v)
+convert (const toml::value &value)
 {
-  if (v.is_boolean ())
-    return json_boolean (v.as_boolean ());
-  if (v.is_integer ())
-    return json_integer (v.as_integer ());
-  if (v.is_floating ())
-    return json_real (v.as_floating ());
-  if (v.is_string ())
-    return json_string (v.as_string ().str.c_str ());
-  if (v.is_array ()) {
-    json_t *a = json_array ();
-    for (const auto &x : v.as_array ())
-      json_array_append_new (a, convert (x));
-    return a;
+  if (value.is_boolean ())
+    return json_boolean (value.as_boolean ());
+  if (value.is_integer ())
+    return json_integer (value.as_integer ());
+  if (value.is_floating ())
+    return json_real (value.as_floating ());
+  if (value.is_string ())
+    return json_string (value.as_string ().str.c_str ());
+  if (value.is_array ()) {
+    json_t *array = json_array ();
+    for (const auto &element : value.as_array ())
+      json_array_append_new (array, convert (element));
+    return array;
   }
-  if (v.is_table ()) {
-    json_t *o = json_object ();
-    for (const auto &kv : v.as_table ())
-      json_object_set_new (o, kv.first.c_str (), convert (kv.second));
-    return o;
+  if (value.is_table ()) {
+    json_t *object = json_object ();
+    for (const auto &entry : value.as_table ())
+      json_object_set_new (object, entry.first.c_str (), convert (entry.second));
+    return object;
   }
   return json_null ();
 }
