--- a/src/constants.h
+++ b/src/constants.h
@@ -230,7 +230,7 @@
 #define KR_STATUS_TICKS 5
 /* Lower bound of the time left until a goal, so that the number of slots needed stays finite. */
 #define KR_TIME_TO_GOAL_MIN_S 1.0
-/* Time within which a job should finish that has neither a deadline nor an objective. */
+/* Finish goal of a job with neither a deadline nor an objective. */
 #define KR_DEFAULT_FINISH_GOAL_S 600.0
 /* First backoff of a job that fails on several machines. */
 #define KR_JOB_BACKOFF_S 5.0
@@ -244,7 +244,7 @@
 #define KR_FAILED_MACHINE_AVOID_S 30.0
 /* A job that has failed on this number of machines is subject to the backoff. */
 #define KR_JOB_BACKOFF_MACHINES 2
-/* A machine on which this number of jobs fail that fail nowhere else counts as faulty. */
+/* A machine counts as faulty when this number of jobs have failed on it and on no other machine. */
 #define KR_FAULTY_MACHINE_JOBS 2
 /* Longest time that a machine's first report waits for the machine record to be written. Workers
  * wait for an answer for 4 s. */
@@ -253,7 +253,7 @@
 #define KR_FIRST_REPORT_HOLD_CHECK_MS 250
 /* The ranking of an unchanged job is reused for this time. */
 #define KR_RANKING_CACHE_MS 100
-/* Time within which a job should start that has no objective for it. */
+/* Start goal of a job without an objective for it. */
 #define KR_DEFAULT_START_GOAL_S 60.0
 /* A job without a running or completed task for this time goes first. */
 #define KR_STARVATION_S 120.0
--- a/src/http-client.c
+++ b/src/http-client.c
@@ -18,8 +18,8 @@
   guint idle_timer;   /* until idle connections are closed */
 };
 
-/* A call is freed only when the session reports its end, which may come after the call was
- * answered with a time-out or counted as lost. */
+/* Once the session has a call, the call is freed only when the session reports its end. That may
+ * come after the call was answered with a time-out or counted as lost. */
 typedef struct {
   KrHttpClient *client;
   GList *queue_link; /* in the client's queue; NULL: the session has the call */
--- a/src/wire.h
+++ b/src/wire.h
@@ -1,5 +1,5 @@
-/* The HTTP/JSON codec of the protocols with users, workers, the cloud and the state service. Their
- * paths and field names stand only here. */
+/* The HTTP/JSON codec of the protocols with users, workers, the cloud and the state service: the
+ * only module with their paths and field names. */
 #pragma once
 #include "settings.h"
 #include <glib.h>
