--- a/src/constants.h
+++ b/src/constants.h
@@ -76,7 +76,8 @@
 /* Longest time that a call waits in that queue: twice its length, as calls of class high overtake
  * it. */
 #define KR_LIMITER_WAIT_MAX_MS 8000
-/* Least length of that queue, in calls. A call that finds the queue full is refused at once. */
+/* Least length of that queue, in calls. When the queue is full, calls are refused at once, except
+ * those of class high. */
 #define KR_LIMITER_QUEUE_MIN 64
 
 /* --- State service ------------------------------------------------------------------- */
