--- a/src/api.c
+++ b/src/api.c
@@ -125,7 +125,7 @@
 static void
 reply_unavailable (ApiCall *call)
 {
-  reply (call, 503, kr_wire_error ("the state service is unavailable"), KR_RETRY_AFTER_S);
+  reply (call, 503, kr_wire_error ("the state service cannot be asked now"), KR_RETRY_AFTER_S);
 }
 
 /* The cancellation is committed, but the owner has not confirmed it. The user asks again later. */
@@ -479,9 +479,9 @@
   for (guint i = 0; i < api->node->machine_types->len; i++)
     fits |= kr_placement_fits_type (spec, api->node->machine_types->pdata[i]);
   if (!fits)
-    return "no allowed machine type is large enough for a task";
+    return "a task fits no allowed machine type";
   if (!kr_placement_job_within_quota (team, spec))
-    return "the job exceeds the team's quota";
+    return "the job needs more than the team's limit";
   return NULL;
 }
 
--- a/src/node.c
+++ b/src/node.c
@@ -181,7 +181,7 @@
   g_autoptr (KrReport) report =
       kr_request_json (request) ? kr_wire_report_parse (kr_request_json (request)) : NULL;
   if (!report) {
-    kr_request_reply (request, 400, kr_wire_error ("the body is not a valid report"), 0);
+    kr_request_reply (request, 400, kr_wire_error ("not a report"), 0);
     return;
   }
   const KrMachineRecord *record = kr_machine_records_find (node->machine_records, report->machine);
@@ -208,11 +208,11 @@
 find_not_ready_reason (const KrNode *node)
 {
   if (!kr_membership_is_synced (node->membership))
-    return "the cluster membership has not been read yet";
+    return "who owns what is not read yet";
   if (!node->machine_types)
     return "machine types are not known yet";
   if (node->state_unreachable)
-    return "peers reach the state service but this node does not";
+    return "peers reach the state service, this node does not";
   return NULL;
 }
 
