--- a/src/machine.c
+++ b/src/machine.c
@@ -14,7 +14,7 @@
 kr_attempt_free (gpointer data)
 {
   KrAttempt *attempt = data;
-  g_free (attempt->job);
+  g_free (attempt->job_id);
   g_free (attempt);
 }
 
@@ -25,7 +25,7 @@
   machine->id = g_strdup (id);
   machine->attempts = g_ptr_array_new_with_free_func (kr_attempt_free);
   machine->failed_jobs = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
-  machine->images = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
+  machine->cached_images = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
   machine->move_to = -1;
   return machine;
 }
@@ -41,7 +41,7 @@
   g_free (machine->reserved_for);
   g_ptr_array_unref (machine->attempts);
   g_hash_table_unref (machine->failed_jobs);
-  g_hash_table_unref (machine->images);
+  g_hash_table_unref (machine->cached_images);
   g_free (machine);
 }
 
@@ -49,8 +49,8 @@
 kr_machine_add_attempt (KrMachine *machine, const char *job, guint index, guint64 attempt_id)
 {
   KrAttempt *attempt = g_new0 (KrAttempt, 1);
-  attempt->job = g_strdup (job);
-  attempt->index = index;
+  attempt->job_id = g_strdup (job);
+  attempt->task_index = index;
   attempt->attempt_id = attempt_id;
   attempt->machine = machine;
   attempt->state = KR_TASK_UNCONFIRMED;
@@ -63,8 +63,8 @@
 {
   for (guint i = 0; i < machine->attempts->len; i++) {
     KrAttempt *attempt = machine->attempts->pdata[i];
-    if (attempt->index == task->index && attempt->attempt_id == task->attempt_id &&
-        g_str_equal (attempt->job, task->job))
+    if (attempt->task_index == task->index && attempt->attempt_id == task->attempt_id &&
+        g_str_equal (attempt->job_id, task->job))
       return attempt;
   }
   return NULL;
@@ -75,8 +75,8 @@
 {
   for (guint i = 0; i < report->tasks->len; i++) {
     const KrTaskReport *task = &g_array_index (report->tasks, KrTaskReport, i);
-    if (attempt->index == task->index && attempt->attempt_id == task->attempt_id &&
-        g_str_equal (attempt->job, task->job))
+    if (attempt->task_index == task->index && attempt->attempt_id == task->attempt_id &&
+        g_str_equal (attempt->job_id, task->job))
       return TRUE;
   }
   return FALSE;
@@ -133,7 +133,7 @@
 static void
 take_identity (KrMachine *machine, const KrReport *report)
 {
-  if (machine->known && g_strcmp0 (machine->endpoint, report->endpoint) == 0)
+  if (machine->has_reported && g_strcmp0 (machine->endpoint, report->endpoint) == 0)
     return;
   g_free (machine->endpoint);
   g_free (machine->type);
@@ -142,9 +142,9 @@
   machine->type = g_strdup (report->type);
   machine->zone = g_strdup (report->zone);
   machine->spot = report->spot;
-  if (!machine->known)
+  if (!machine->has_reported)
     kr_debug ("machine %s: up", machine->id);
-  machine->known = TRUE;
+  machine->has_reported = TRUE;
 }
 
 static void
@@ -206,7 +206,7 @@
   if (before == KR_TASK_UNCONFIRMED && !attempt->adopted)
     saw (machine, attempt, KR_ATTEMPT_CONFIRMED, data);
   attempt->state = task->state;
-  attempt->why = task->exit_reason;
+  attempt->exit_reason = task->exit_reason;
   if (task->state == KR_TASK_RUNNING && !attempt->running_since) {
     attempt->running_since = now;
     saw (machine, attempt, KR_ATTEMPT_STARTED, data);
@@ -259,12 +259,12 @@
 {
   if (answered) {
     machine->failed_calls = 0;
-    machine->next_call = 0;
+    machine->next_call_at = 0;
     return;
   }
   double pause_s =
       MIN (KR_WORKER_BACKOFF_MAX_S, KR_WORKER_BACKOFF_S * (1u << machine->failed_calls));
-  machine->next_call = now + kr_seconds_to_us (pause_s);
+  machine->next_call_at = now + kr_seconds_to_us (pause_s);
   machine->failed_calls = MIN (machine->failed_calls + 1, KR_WORKER_BACKOFF_DOUBLINGS);
 }
 
--- a/src/machine.h
+++ b/src/machine.h
@@ -19,11 +19,11 @@
 
 /* One attempt of one task on one machine. */
 typedef struct {
-  char *job;
-  guint index;
+  char *job_id;
+  guint task_index;
   guint64 attempt_id;
   KrTaskState state;
-  KrExitReason why;
+  KrExitReason exit_reason;
   guint64 sent_after_seq; /* in doubt until a beat newer than this one */
   gint64 running_since;   /* monotonic us: when it was seen running first; 0: not yet */
   gboolean adopted;       /* found on the machine: its start time is unknown */
@@ -40,7 +40,7 @@
 
 typedef struct KrMachine {
   char *id, *endpoint, *type, *zone;
-  gboolean spot, known; /* known: it has reported; type, zone and spot are valid */
+  gboolean spot, has_reported; /* known: it has reported; type, zone and spot are valid */
   guint64 session, seq, token;
   guint64 report_seq;      /* of its newest report; `seq` may be that of a command's answer */
   gint64 last_report_at;   /* monotonic us of the newest report that we took */
@@ -56,24 +56,24 @@
   gboolean command_in_flight; /* a direct command to it is under way */
   gboolean command_again;     /* more has come to be killed meanwhile */
   guint failed_calls;         /* direct calls to it in a row */
-  gint64 next_call;           /* monotonic us: no direct call to it before */
-  gint64 delete_after;    /* monotonic us: no deletion is asked for before; 0: none was refused */
-  gint move_to;           /* part that it goes to when empty; -1: none */
-  gboolean moving;        /* the move may be under way: nothing may start */
-  gboolean move_unknown;  /* its outcome is not known */
-  guint64 chunk_revision; /* revision of the record chunk that holds it */
-  gint64 idle_since, joined; /* monotonic us */
-  gpointer pending_request;  /* KrRequest: its first report, answered once it is used */
-  gint64 pending_since;      /* monotonic us */
-  gint64 missing_since;      /* monotonic us: listed once, then not; 0: listed */
+  gint64 next_call_at;        /* monotonic us: no direct call to it before */
+  gint64 delete_after; /* monotonic us: no deletion is asked for before; 0: none was refused */
+  gint move_to;        /* part that it goes to when empty; -1: none */
+  gboolean moving;     /* the move may be under way: nothing may start */
+  gboolean move_outcome_unknown; /* its outcome is not known */
+  guint64 chunk_revision;        /* revision of the record chunk that holds it */
+  gint64 idle_since, joined_at;  /* monotonic us */
+  gpointer pending_request;      /* KrRequest: its first report, answered once it is used */
+  gint64 pending_since;          /* monotonic us */
+  gint64 missing_since;          /* monotonic us: listed once, then not; 0: listed */
   gboolean listed;
-  gint64 pause_until;      /* monotonic us: no launches after an error, or after unheard ones */
-  guint undelivered;       /* launches in a row that never appeared */
-  double slowdown;         /* of its tasks' run times to their jobs' means, a moving average */
-  guint slowdown_samples;  /* tasks in it */
-  GHashTable *failed_jobs; /* jobs whose tasks failed here */
-  GHashTable *images;      /* images fetched here */
-  char *reserved_for;      /* job for which room was made here */
+  gint64 no_start_until;     /* monotonic us: no launches after an error, or after unheard ones */
+  guint undelivered;         /* launches in a row that never appeared */
+  double slowdown;           /* of its tasks' run times to their jobs' means, a moving average */
+  guint slowdown_samples;    /* tasks in it */
+  GHashTable *failed_jobs;   /* jobs whose tasks failed here */
+  GHashTable *cached_images; /* images fetched here */
+  char *reserved_for;        /* job for which room was made here */
   gint64 reserved_until;
 } KrMachine;
 
--- a/src/shard-dispatch.c
+++ b/src/shard-dispatch.c
@@ -48,7 +48,8 @@
 waits_for_first (const KrLiveJob *live_job, double seconds)
 {
   const KrJob *job = live_job->job;
-  return live_job->in.now - job->submitted_at > seconds && job->n_done == 0 && job->n_active == 0;
+  return live_job->estimate_input.now - job->submitted_at > seconds && job->n_done == 0 &&
+         job->n_active == 0;
 }
 
 /* Whether a job has waited long enough to stop others' tasks: at once where its class's wait
@@ -57,15 +58,15 @@
 judge_waiting (KrShard *shard, KrLiveJob *live_job, KrPriority lowest, gint64 now)
 {
   const KrJob *job = live_job->job;
-  double waited = live_job->in.now - job->submitted_at;
+  double waited = live_job->estimate_input.now - job->submitted_at;
   double goal = kr_settings_start_goal_s (shard->node->settings, job->spec->job_class);
   /* Time left for waiting, when a report and a fetch still have to follow. */
-  live_job->patience = MIN (goal / 2, goal - shard->node->settings->report_interval_s -
-                                          fetch_s (shard, NULL, job) - KR_SAVE_GRACE_S);
-  live_job->stops = job->spec->priority > lowest && !job->cancelled && live_job->team &&
-                    now >= job->backoff_until &&
-                    waited >= MIN (live_job->patience, KR_PREEMPT_WAIT_S);
-  live_job->starves = waits_for_first (live_job, KR_STARVATION_S);
+  live_job->preempt_all_after_s = MIN (goal / 2, goal - shard->node->settings->report_interval_s -
+                                                     fetch_s (shard, NULL, job) - KR_SAVE_GRACE_S);
+  live_job->may_preempt = job->spec->priority > lowest && !job->cancelled && live_job->team &&
+                          now >= job->backoff_until &&
+                          waited >= MIN (live_job->preempt_all_after_s, KR_PREEMPT_WAIT_S);
+  live_job->starved = waits_for_first (live_job, KR_STARVATION_S);
 }
 
 /* --- live jobs ----------------------------------------------------------------------- */
@@ -81,7 +82,7 @@
   live_job->team = kr_settings_team (shard->node->settings, job->spec->team);
   for (guint i = 0; i < teams->len; i++)
     if (teams->pdata[i] == live_job->team)
-      live_job->used = &shard->used[i];
+      live_job->used = &shard->team_usage[i];
   g_ptr_array_add (shard->live_jobs, live_job);
   shard->ranked_at = 0;
   return live_job;
@@ -106,7 +107,7 @@
   attempt->live_job = live_job;
   attempt->live_index = live_job->attempts->len;
   g_ptr_array_add (live_job->attempts, attempt);
-  kr_job_add_active (live_job->job, attempt->index);
+  kr_job_add_active (live_job->job, attempt->task_index);
   if (live_job->used)
     kr_resources_add (live_job->used, live_job->job->spec);
 }
@@ -122,7 +123,7 @@
     ((KrAttempt *) live_job->attempts->pdata[attempt->live_index])->live_index =
         attempt->live_index;
   attempt->live_job = NULL;
-  kr_job_remove_active (live_job->job, attempt->index);
+  kr_job_remove_active (live_job->job, attempt->task_index);
   if (live_job->used)
     kr_resources_subtract (live_job->used, live_job->job->spec);
 }
@@ -148,17 +149,18 @@
   for (guint i = 0; i < live_job->attempts->len; i++)
     g_array_index (live_job->elapsed, double, i) =
         kr_attempt_run_time_s (live_job->attempts->pdata[i], now);
-  live_job->in = (KrEstimateInput){ .timed_sum_s = job->timed_sum_s,
-                                    .timed_count = job->timed_count,
-                                    .unstarted = kr_job_unstarted (job),
-                                    .running = live_job->elapsed->len,
-                                    .elapsed = (const double *) (gpointer) live_job->elapsed->data,
-                                    .now = real,
-                                    .goal = goal_of (shard, job),
-                                    .submitted = job->submitted_at,
-                                    .is_service = job->spec->kind == KR_JOB_KIND_SERVICE,
-                                    .prior_mean_s = job->spec->run_estimate_s };
-  live_job->key = kr_ranking_key (&live_job->in, job->spec->id);
+  live_job->estimate_input =
+      (KrEstimateInput){ .timed_sum_s = job->timed_sum_s,
+                         .timed_count = job->timed_count,
+                         .unstarted = kr_job_unstarted (job),
+                         .running = live_job->elapsed->len,
+                         .elapsed = (const double *) (gpointer) live_job->elapsed->data,
+                         .now = real,
+                         .goal = goal_of (shard, job),
+                         .submitted = job->submitted_at,
+                         .is_service = job->spec->kind == KR_JOB_KIND_SERVICE,
+                         .prior_mean_s = job->spec->run_estimate_s };
+  live_job->ranking_key = kr_ranking_key (&live_job->estimate_input, job->spec->id);
 }
 
 /* Ranks all live jobs as of now; what was ranked within KR_RANKING_CACHE_MS and has not changed
@@ -173,9 +175,9 @@
 
   for (guint i = 0; i < shard->live_jobs->len; i++) {
     KrLiveJob *live_job = shard->live_jobs->pdata[i];
-    if (all || live_job->in.running != live_job->attempts->len ||
-        live_job->in.timed_count != live_job->job->timed_count ||
-        live_job->in.unstarted != kr_job_unstarted (live_job->job))
+    if (all || live_job->estimate_input.running != live_job->attempts->len ||
+        live_job->estimate_input.timed_count != live_job->job->timed_count ||
+        live_job->estimate_input.unstarted != kr_job_unstarted (live_job->job))
       rerank (shard, live_job, now, real);
     lowest = MIN (lowest, live_job->job->spec->priority);
     live_job->skip = FALSE;
@@ -258,7 +260,8 @@
     return FALSE;
   /* A machine that empties itself takes what will end before it would be empty anyway. */
   if (machine->move_to >= 0 &&
-      (!job->timed_count || kr_estimate_mean_task_s (&live_job->in) > rest_s (shard, machine, now)))
+      (!job->timed_count ||
+       kr_estimate_mean_task_s (&live_job->estimate_input) > rest_s (shard, machine, now)))
     return FALSE;
   /* It failed here and nowhere else: another machine shall tell which of the two is at fault, but
    * where none has room for it, it must not wait for that for ever. */
@@ -274,27 +277,27 @@
 KrReadiness
 kr_shard_readiness (KrShard *shard, const KrMachine *machine, gint64 now)
 {
-  if (shard->phase != OPEN)
-    return KR_NOT_OPEN;
-  if (!machine->known)
-    return KR_NOT_KNOWN;
+  if (shard->phase != SHARD_OPEN)
+    return KR_SHARD_NOT_OPEN;
+  if (!machine->has_reported)
+    return KR_MACHINE_NEVER_REPORTED;
   if (!machine->used)
-    return KR_NOT_RECORDED;
+    return KR_MACHINE_USE_NOT_RECORDED;
   if (kr_shard_needs_fence (machine))
-    return KR_NOT_FENCED;
+    return KR_MACHINE_NOT_FENCED;
   if (machine->drain || machine->deleting)
-    return KR_DRAINING;
+    return KR_MACHINE_DRAINING;
   if (machine->moving)
-    return KR_MOVING;
+    return KR_MACHINE_MOVING;
   if (machine->reclaim_at)
-    return KR_NOTICED;
-  return now < machine->pause_until ? KR_PAUSED : KR_READY;
+    return KR_MACHINE_RECLAIM_NOTICED;
+  return now < machine->no_start_until ? KR_MACHINE_BACKING_OFF : KR_MACHINE_READY;
 }
 
 gboolean
 kr_shard_usable (KrShard *shard, const KrMachine *machine, gint64 now)
 {
-  return kr_shard_readiness (shard, machine, now) == KR_READY;
+  return kr_shard_readiness (shard, machine, now) == KR_MACHINE_READY;
 }
 
 /* Every start of a task goes by here, whatever chose it. */
@@ -302,7 +305,7 @@
 may_start (KrShard *shard, const KrMachine *machine, const KrJob *job, gint64 task, gint64 now)
 {
   KrReadiness readiness = kr_shard_readiness (shard, machine, now);
-  if (readiness != KR_READY) {
+  if (readiness != KR_MACHINE_READY) {
     kr_invariant_violated (KR_INVARIANT_MACHINE_READY, "task %s/%d would start on %s (reason %d)",
                            job->spec->id, (int) task, machine->id, readiness);
     return FALSE;
@@ -333,16 +336,16 @@
     return NULL;
   KrAttempt *attempt =
       kr_machine_add_attempt (machine, job->spec->id, (guint) task,
-                              (shard->token << KR_ATTEMPT_COUNTER_BITS) + ++shard->attempts);
+                              (shard->token << KR_ATTEMPT_COUNTER_BITS) + ++shard->attempt_counter);
   kr_live_job_add_attempt (live_job, attempt);
   /* A job that fails wherever it runs is tried with one task a pause, until one succeeds. */
   if (kr_job_is_suspect (job)) {
     job->probing = TRUE;
     job->backoff_until = now + kr_seconds_to_us (job->backoff_s);
   }
-  attempt->preempt_protected = live_job->starves;
-  live_job->starves = FALSE;
-  rerank (shard, live_job, now, live_job->in.now);
+  attempt->preempt_protected = live_job->starved;
+  live_job->starved = FALSE;
+  rerank (shard, live_job, now, live_job->estimate_input.now);
   return attempt;
 }
 
@@ -416,7 +419,7 @@
       continue;
     attempt->planned = FALSE;
     attempt->sent_after_seq = machine->seq;
-    kr_wire_order_run (orders, attempt->job, attempt->index, attempt->attempt_id);
+    kr_wire_order_run (orders, attempt->job_id, attempt->task_index, attempt->attempt_id);
   }
 }
 
@@ -427,15 +430,15 @@
 static int
 before (const KrLiveJob *a, const KrLiveJob *b)
 {
-  if (a->starves != b->starves)
-    return a->starves ? -1 : 1;
-  if (a->starves && a->job->submitted_at != b->job->submitted_at)
+  if (a->starved != b->starved)
+    return a->starved ? -1 : 1;
+  if (a->starved && a->job->submitted_at != b->job->submitted_at)
     return a->job->submitted_at < b->job->submitted_at ? -1 : 1;
-  if (a->stops != b->stops)
-    return a->stops ? -1 : 1;
-  if (a->stops && a->job->spec->priority != b->job->spec->priority)
+  if (a->may_preempt != b->may_preempt)
+    return a->may_preempt ? -1 : 1;
+  if (a->may_preempt && a->job->spec->priority != b->job->spec->priority)
     return a->job->spec->priority > b->job->spec->priority ? -1 : 1;
-  return kr_ranking_compare (&a->key, &b->key);
+  return kr_ranking_compare (&a->ranking_key, &b->ranking_key);
 }
 
 /* The first in rank that fits the room left. */
@@ -484,8 +487,8 @@
   }
   attempt->sent_after_seq = machine->seq;
   machine->idle_since = now;
-  kr_wire_order_run (orders, spec->id, attempt->index, attempt->attempt_id);
-  kr_debug ("task %s/%u: to %s", spec->id, attempt->index, machine->id);
+  kr_wire_order_run (orders, spec->id, attempt->task_index, attempt->attempt_id);
+  kr_debug ("task %s/%u: to %s", spec->id, attempt->task_index, machine->id);
 }
 
 /* The paper's allocation, max variant, triggered by a machine's report: its free room goes out one
@@ -523,7 +526,7 @@
 static gboolean
 has_image (const KrMachine *machine, const KrJob *job)
 {
-  return g_hash_table_contains (machine->images, job->spec->image);
+  return g_hash_table_contains (machine->cached_images, job->spec->image);
 }
 
 /* What stopping a task loses, in seconds of its run. */
@@ -542,7 +545,7 @@
   /* A guarantee may stop work of any Rank, but that of higher Rank only when the wait is over:
    * otherwise the two stop each other in turn. */
   gboolean upward =
-      live_job->in.now - live_job->job->submitted_at >
+      live_job->estimate_input.now - live_job->job->submitted_at >
       kr_settings_start_goal_s (shard->node->settings, live_job->job->spec->job_class);
   KrAttempt *best = NULL;
   for (guint i = 0; i < machine->attempts->len; i++) {
@@ -607,7 +610,7 @@
       continue;
     attempt->kill = KR_KILL_GRACEFUL;
     any = TRUE;
-    kr_info ("task %s/%u: stopped on %s for %s", attempt->job, attempt->index, machine->id,
+    kr_info ("task %s/%u: stopped on %s for %s", attempt->job_id, attempt->task_index, machine->id,
              live_job->job->spec->id);
   }
   if (any)
@@ -700,7 +703,7 @@
   const KrLiveJob *live_job = *(KrLiveJob *const *) a, *y = *(KrLiveJob *const *) b;
   if (live_job->job->spec->priority != y->job->spec->priority)
     return live_job->job->spec->priority > y->job->spec->priority ? -1 : 1;
-  return kr_ranking_compare (&live_job->key, &y->key);
+  return kr_ranking_compare (&live_job->ranking_key, &y->ranking_key);
 }
 
 /* Permitted preemption: a job that waits holds machines on which lower work may be stopped. What
@@ -709,7 +712,7 @@
 void
 kr_shard_preempt (KrShard *shard, gint64 now)
 {
-  if (shard->phase != OPEN || !shard->node->machine_types)
+  if (shard->phase != SHARD_OPEN || !shard->node->machine_types)
     return;
   rank_all (shard, now);
   g_autoptr (GPtrArray) order = g_ptr_array_copy (shard->live_jobs, NULL, NULL);
@@ -717,13 +720,13 @@
   for (guint i = 0; i < order->len; i++) {
     KrLiveJob *live_job = order->pdata[i];
     KrJob *job = live_job->job;
-    double waited = live_job->in.now - job->submitted_at;
+    double waited = live_job->estimate_input.now - job->submitted_at;
     gboolean guarantee = live_job->team && live_job->team->cpus > 0 && !job->cancelled &&
                          now >= job->backoff_until &&
-                         waited >= MIN (live_job->patience, KR_PREEMPT_WAIT_S);
-    if (!kr_job_unstarted (job) || (!live_job->stops && !guarantee))
+                         waited >= MIN (live_job->preempt_all_after_s, KR_PREEMPT_WAIT_S);
+    if (!kr_job_unstarted (job) || (!live_job->may_preempt && !guarantee))
       continue;
-    double most = waited > live_job->patience ? G_MAXDOUBLE : waited;
+    double most = waited > live_job->preempt_all_after_s ? G_MAXDOUBLE : waited;
     KrResources used = *live_job->used;
     guint want = 0, held = held_places (shard, live_job, most, now);
     for (; want < kr_job_unstarted (job) &&
@@ -795,7 +798,7 @@
 {
   /* Toward a moment before the goal: fetches, reports and moves take time that the paper's
    * estimate does not count, and a job given just what it needs ends just too late. */
-  KrEstimateInput sooner = live_job->in;
+  KrEstimateInput sooner = live_job->estimate_input;
   sooner.goal = sooner.submitted + KR_RENT_GOAL_SHARE * (sooner.goal - sooner.submitted);
   return kr_ranking_wanted_slots (&sooner);
 }
@@ -817,8 +820,8 @@
 needs_json (KrShard *shard, gint64 now, gboolean *waiting)
 {
   gsize size = shard->node->settings->teams->len * sizeof (KrResources);
-  g_autofree KrResources *used = g_memdup2 (shard->used, size),
-                         *used_most = g_memdup2 (shard->used, size);
+  g_autofree KrResources *used = g_memdup2 (shard->team_usage, size),
+                         *used_most = g_memdup2 (shard->team_usage, size);
   json_t *needs = json_array ();
 
   for (guint i = 0; i < shard->live_jobs->len; i++) {
@@ -827,19 +830,20 @@
     if (live_job->job->cancelled || !live_job->team)
       continue;
     double all = startable (live_job->job, now);
-    gsize team = (gsize) (live_job->used - shard->used);
+    gsize team = (gsize) (live_job->used - shard->team_usage);
     double want = within_limits (live_job, MIN (slots_wanted (live_job), all), &used[team]);
     double most = within_limits (live_job, all, &used_most[team]);
     *waiting |= want > 0;
-    if (most + live_job->in.running <= 0)
+    if (most + live_job->estimate_input.running <= 0)
       continue;
     double first = waits_for_first (live_job, KR_STARVATION_MACHINE_S) ? MIN (want, 1) : 0;
-    json_array_append_new (
-        needs, json_pack ("{so ss* sb sf sf sf sf sf sf sb}", "Types", types_json (spec), "Zone",
-                          spec->zone, "Spot", spec->spot_allowed, "Cpus", spec->cpus, "Gpus",
-                          spec->gpus, "Mem", spec->mem_gb, "First", first, "Slots",
-                          want + live_job->in.running, "Most", most + live_job->in.running,
-                          "Urgent", spec->priority >= KR_PRIORITY_URGENT));
+    json_array_append_new (needs, json_pack ("{so ss* sb sf sf sf sf sf sf sb}", "Types",
+                                             types_json (spec), "Zone", spec->zone, "Spot",
+                                             spec->spot_allowed, "Cpus", spec->cpus, "Gpus",
+                                             spec->gpus, "Mem", spec->mem_gb, "First", first,
+                                             "Slots", want + live_job->estimate_input.running,
+                                             "Most", most + live_job->estimate_input.running,
+                                             "Urgent", spec->priority >= KR_PRIORITY_URGENT));
   }
   return needs;
 }
@@ -848,7 +852,8 @@
 static double
 until_empty_s (KrShard *shard, const KrMachine *machine, gint64 now)
 {
-  return machine->known ? rest_s (shard, machine, now) : shard->node->settings->worker_lease_s;
+  return machine->has_reported ? rest_s (shard, machine, now)
+                               : shard->node->settings->worker_lease_s;
 }
 
 /* Guards against one that has moved here and not reported yet: it has been up, and would otherwise
@@ -856,7 +861,7 @@
 static gboolean
 has_been_up (const KrMachine *machine)
 {
-  return machine->known || machine->used;
+  return machine->has_reported || machine->used;
 }
 
 static json_t *
@@ -864,9 +869,10 @@
 {
   /* A silent one is not idle: it may hang and go on. How long to wait is watch_machine's to say. */
   gboolean lost = silent (shard, machine, now);
-  double idle = machine->attempts->len || !machine->known || lost || shard->phase != OPEN
-                    ? -1
-                    : (double) (now - machine->idle_since) / G_USEC_PER_SEC;
+  double idle =
+      machine->attempts->len || !machine->has_reported || lost || shard->phase != SHARD_OPEN
+          ? -1
+          : (double) (now - machine->idle_since) / G_USEC_PER_SEC;
   return json_pack ("{ss ss* sb sb sf sf sb sI}", "Id", machine->id, "Type", machine->type, "Spot",
                     machine->spot, "Up", has_been_up (machine), "Idle", idle, "Rest",
                     until_empty_s (shard, machine, now), "Going",
--- a/src/shard-private.h
+++ b/src/shard-private.h
@@ -5,7 +5,7 @@
 #include "placement.h"
 #include "ranking.h"
 
-typedef enum { LOADING, FENCING, OPEN } Phase;
+typedef enum { SHARD_LOADING, SHARD_FENCING, SHARD_OPEN } ShardPhase;
 
 /* A live job with what may be on machines of it, kept as that changes: a round of grants must not
  * cost a walk over all machines. */
@@ -17,12 +17,12 @@
   GPtrArray *attempts;
   /* as the paper's functions see it */
   GArray *elapsed;
-  KrEstimateInput in;
-  KrRankingKey key;
-  double patience;  /* s from submission after which it stops whatever it may */
-  gboolean stops;   /* it has waited long enough to stop others' tasks */
-  gboolean starves; /* nothing of it has begun for long */
-  gboolean skip;    /* out of this round */
+  KrEstimateInput estimate_input;
+  KrRankingKey ranking_key;
+  double preempt_all_after_s; /* s from submission after which it stops whatever it may */
+  gboolean may_preempt;       /* it has waited long enough to stop others' tasks */
+  gboolean starved;           /* nothing of it has begun for long */
+  gboolean skip;              /* out of this round */
 } KrLiveJob;
 
 struct KrShard {
@@ -30,35 +30,35 @@
   KrNode *node;
   guint index;
   guint64 token;
-  Phase phase;
-  gboolean gone, have_record, have_jobs;
+  ShardPhase phase;
+  gboolean closed, record_loaded, jobs_loaded;
   GCancellable *cancel;
-  GHashTable *jobs;     /* id -> KrLiveJob */
-  GPtrArray *live_jobs; /* the same, to walk */
-  KrResources *used;    /* a team each */
-  gint64 ranked_at;     /* monotonic us */
-  GHashTable *machines; /* id -> KrMachine */
-  GHashTable *ended;    /* id -> guint64: revision of the end that we wrote or found, kept until the
-                           watch of the jobs is past it */
-  GPtrArray *held;      /* KrMachine whose first report waits for its answer */
-  GHashTable *leaving;  /* ids to be taken out of the record: deleted */
-  guint64 attempts;     /* counter below the token */
-  gint64 taken_at, last_beat;
-  GPtrArray *former;  /* KrFormerOwner: who may have answered machines; NULL: not known */
-  gboolean only_ours; /* none of them but earlier processes of this node */
-  gint64 quiet_since; /* monotonic us from which on none of them answers; 0: not yet known */
-  gboolean record_busy, flushing;
-  gint64 next_tell;           /* monotonic us: needs are not told before */
-  gint64 next_record;         /* monotonic us: the record is not written before */
-  json_t *claim_written;      /* what the claim is being made; NULL: no write of it is under way */
-  gboolean deletions_refused; /* the cloud did not carry out the newest */
-  guint tick, fence_tick, preempt_soon;
-  guint ticks; /* so far */
-  guint held_tick;
-  guint64 walked;   /* machines, by walks over all of them: no event may cost one */
-  guint fencing;    /* calls of it under way */
-  guint overtaken;  /* reports that a command's answer was faster than, so far */
-  gint64 listed_at; /* monotonic us of the newest list */
+  GHashTable *jobs;         /* id -> KrLiveJob */
+  GPtrArray *live_jobs;     /* the same, to walk */
+  KrResources *team_usage;  /* a team each */
+  gint64 ranked_at;         /* monotonic us */
+  GHashTable *machines;     /* id -> KrMachine */
+  GHashTable *ended_jobs;   /* id -> guint64: revision of the end that we wrote or found, kept until
+                          the   watch of the jobs is past it */
+  GPtrArray *held_machines; /* KrMachine whose first report waits for its answer */
+  GHashTable *deleted_ids;  /* ids to be taken out of the record: deleted */
+  guint64 attempt_counter;  /* counter below the token */
+  gint64 acquired_at, last_report_at;
+  GPtrArray *former_owners; /* KrFormerOwner: who may have answered machines; NULL: not known */
+  gboolean only_this_node;  /* none of them but earlier processes of this node */
+  gint64 former_stopped_at; /* monotonic us from which on none of them answers; 0: not yet known */
+  gboolean record_write_in_flight, flush_in_flight;
+  gint64 next_summary_at;      /* monotonic us: needs are not told before */
+  gint64 next_record_write_at; /* monotonic us: the record is not written before */
+  json_t *owner_history_write; /* what the claim is being made; NULL: no write of it is under way */
+  gboolean deletions_refused;  /* the cloud did not carry out the newest */
+  guint tick_timer, fence_timer, preempt_timer;
+  guint tick_count; /* so far */
+  guint held_timer;
+  guint64 machine_visits;  /* machines, by walks over all of them: no event may cost one */
+  guint fence_calls;       /* calls of it under way */
+  guint overtaken_reports; /* reports that a command's answer was faster than, so far */
+  gint64 listed_at;        /* monotonic us of the newest list */
 };
 
 KrShard *kr_shard_ref (KrShard *shard);
@@ -74,7 +74,9 @@
 void kr_shard_command_kills (KrShard *shard, KrMachine *machine);
 /* Before a machine is taken out of `machines`; `gone`: what became of its launches. */
 void kr_shard_remove_machine (KrShard *shard, KrMachine *machine, KrGoneReason gone);
-#define KR_LEFT_RECORD "it left the record with tasks" /* why a machine is deleted */
+#define KR_DELETED_FROM_RECORD_REASON                                                              \
+  "it left the record with tasks" /* why a machine is deleted                                      \
+                                   */
 /* Has the cloud delete it: what runs there is gone once it says so. Repeated by those who ask until
  * then, with a pause after each refusal. FALSE: such a pause is on. */
 gboolean kr_shard_delete_machine (KrShard *shard, KrMachine *machine, const char *why);
@@ -87,9 +89,9 @@
 /* A node that may have answered machines of the part since all of them were last fenced. */
 typedef struct {
   char *node;
-  gboolean quiet;  /* it has said that it answers them no more, or is this node */
-  gboolean asking; /* a question to it is under way */
-  gint64 next_ask; /* monotonic us: not asked before */
+  gboolean stopped;           /* it has said that it answers them no more, or is this node */
+  gboolean request_in_flight; /* a question to it is under way */
+  gint64 next_request_at;     /* monotonic us: not asked before */
 } KrFormerOwner;
 /* The part is ours now; its record and jobs are yet to be read. */
 void kr_takeover_begin (KrShard *shard);
@@ -126,15 +128,15 @@
 KrJob *kr_attempt_job (const KrAttempt *attempt);
 /* Whether a task may be started on a machine now; if not, the first reason against it. */
 typedef enum {
-  KR_READY,
-  KR_NOT_OPEN,     /* a machine of the part may still obey an earlier owner */
-  KR_NOT_KNOWN,    /* it has not reported yet */
-  KR_NOT_RECORDED, /* that it is used is not durable: a successor would not fence it */
-  KR_NOT_FENCED,   /* it may still obey an earlier owner */
-  KR_DRAINING,     /* it is faulty, or is being deleted */
-  KR_MOVING,       /* it may be another part's already */
-  KR_NOTICED,      /* the cloud takes it soon */
-  KR_PAUSED        /* launches do not reach it, or fail there */
+  KR_MACHINE_READY,
+  KR_SHARD_NOT_OPEN,           /* a machine of the part may still obey an earlier owner */
+  KR_MACHINE_NEVER_REPORTED,   /* it has not reported yet */
+  KR_MACHINE_USE_NOT_RECORDED, /* that it is used is not durable: a successor would not fence it */
+  KR_MACHINE_NOT_FENCED,       /* it may still obey an earlier owner */
+  KR_MACHINE_DRAINING,         /* it is faulty, or is being deleted */
+  KR_MACHINE_MOVING,           /* it may be another part's already */
+  KR_MACHINE_RECLAIM_NOTICED,  /* the cloud takes it soon */
+  KR_MACHINE_BACKING_OFF       /* launches do not reach it, or fail there */
 } KrReadiness;
 KrReadiness kr_shard_readiness (KrShard *shard, const KrMachine *machine, gint64 now);
 gboolean kr_shard_usable (KrShard *shard, const KrMachine *machine, gint64 now);
--- a/src/shard-progress.c
+++ b/src/shard-progress.c
@@ -11,14 +11,14 @@
 static void
 job_ended (KrShard *shard, const char *id, guint64 revision)
 {
-  g_hash_table_replace (shard->ended, g_strdup (id), g_memdup2 (&revision, sizeof revision));
+  g_hash_table_replace (shard->ended_jobs, g_strdup (id), g_memdup2 (&revision, sizeof revision));
   g_hash_table_remove (shard->jobs, id);
 }
 
 gboolean
 kr_shard_has_ended (KrShard *shard, const char *job)
 {
-  return g_hash_table_contains (shard->ended, job);
+  return g_hash_table_contains (shard->ended_jobs, job);
 }
 
 static gboolean
@@ -31,7 +31,7 @@
 kr_shard_prune_ended (KrShard *shard)
 {
   guint64 shown = kr_watch_revision (shard->node->job_watch);
-  g_hash_table_foreach_remove (shard->ended, is_past, &shown);
+  g_hash_table_foreach_remove (shard->ended_jobs, is_past, &shown);
 }
 
 /* --- progress ------------------------------------------------------------------------ */
@@ -65,9 +65,9 @@
 {
   JobRead *r = data;
   KrKeyValue item;
-  if (!r->shard->gone && status == 200 && kr_wire_key_value_parse (body, &item))
+  if (!r->shard->closed && status == 200 && kr_wire_key_value_parse (body, &item))
     kr_shard_job_event (r->shard, &item);
-  else if (!r->shard->gone && status == 404) {
+  else if (!r->shard->closed && status == 404) {
     /* Our final write was applied after all, though its answer was lost. */
     kr_info ("job %s: ended", r->id);
     job_ended (r->shard, r->id, kr_wire_revision (body));
@@ -91,7 +91,7 @@
 flush_again (gpointer data)
 {
   KrShard *shard = data;
-  if (!shard->gone)
+  if (!shard->closed)
     kr_shard_flush_progress (shard);
   kr_shard_unref (shard);
   return G_SOURCE_REMOVE;
@@ -103,8 +103,8 @@
   Batch *batch = data;
   KrShard *shard = batch->shard;
 
-  shard->flushing = FALSE;
-  for (guint i = 0; !shard->gone && i < batch->items->len; i++) {
+  shard->flush_in_flight = FALSE;
+  for (guint i = 0; !shard->closed && i < batch->items->len; i++) {
     Written *written = batch->items->pdata[i];
     KrJob *job = kr_shard_job (shard, written->id);
     g_autofree char *key = kr_job_key (written->id);
@@ -126,7 +126,7 @@
         reread_job (shard, written->id);
     }
   }
-  if (!shard->gone) {
+  if (!shard->closed) {
     kr_timer_add (status == 200 ? KR_FLUSH_BATCH_DELAY_MS : KR_STATE_RETRY_MS, flush_again,
                   kr_shard_ref (shard));
     if (status && status != 200)
@@ -155,7 +155,7 @@
 static gboolean
 end_is_due (const KrShard *shard, KrJob *job)
 {
-  return !job->writing && is_final (job) && (!job->cancelled || shard->phase == OPEN);
+  return !job->writing && is_final (job) && (!job->cancelled || shard->phase == SHARD_OPEN);
 }
 
 guint
@@ -262,7 +262,8 @@
   gint64 now = kr_now ();
   gboolean finals;
 
-  if (shard->flushing || shard->gone || !shard->have_jobs || shard->phase == LOADING)
+  if (shard->flush_in_flight || shard->closed || !shard->jobs_loaded ||
+      shard->phase == SHARD_LOADING)
     return;
   g_autoptr (GPtrArray) jobs = due (shard, now, &finals);
   guint most = most_ops (shard, finals);
@@ -282,7 +283,7 @@
     add_job (txn, batch, job, finals, now);
     bytes += size;
   }
-  shard->flushing = TRUE;
+  shard->flush_in_flight = TRUE;
   kr_state_commit (shard->node->state_client, txn, finals ? KR_QUEUE_HIGH : KR_QUEUE_NORMAL,
                    KR_STATE_TIMEOUT_MS, shard->cancel, flushed, batch);
 }
@@ -301,7 +302,7 @@
 {
   ChunkRead *r = data;
   KrShard *shard = r->shard;
-  KrJob *job = shard->gone ? NULL : kr_shard_job (shard, r->id);
+  KrJob *job = shard->closed ? NULL : kr_shard_job (shard, r->id);
   KrKeyValue item;
 
   if (job && status != 200 && status != 404) {
@@ -368,7 +369,7 @@
 kr_shard_cancel_job (KrShard *shard, const char *id, guint64 owner, guint64 revision)
 {
   KrLiveJob *live_job = g_hash_table_lookup (shard->jobs, id);
-  if (shard->phase != OPEN || shard->token < owner)
+  if (shard->phase != SHARD_OPEN || shard->token < owner)
     return KR_CANCEL_NOT_OWNER;
   if (!live_job)
     return KR_CANCEL_NO_SUCH_JOB;
@@ -420,7 +421,7 @@
 preempt_now (gpointer data)
 {
   KrShard *shard = data;
-  shard->preempt_soon = 0;
+  shard->preempt_timer = 0;
   kr_shard_preempt (shard, kr_now ());
   return G_SOURCE_REMOVE;
 }
@@ -438,11 +439,11 @@
       KrAttempt *attempt = machine->attempts->pdata[k];
       if (attempt->live_job)
         continue;
-      KrJob *job = kr_shard_job (shard, attempt->job);
+      KrJob *job = kr_shard_job (shard, attempt->job_id);
       kr_shard_add_attempt (shard, attempt);
-      if (job && attempt->state == KR_TASK_EXITED && attempt->why == KR_EXIT_DONE &&
-          job->spec->kind != KR_JOB_KIND_SERVICE && !kr_job_is_done (job, attempt->index)) {
-        kr_job_set_done (job, attempt->index);
+      if (job && attempt->state == KR_TASK_EXITED && attempt->exit_reason == KR_EXIT_DONE &&
+          job->spec->kind != KR_JOB_KIND_SERVICE && !kr_job_is_done (job, attempt->task_index)) {
+        kr_job_set_done (job, attempt->task_index);
         job->progress_dirty = TRUE;
       }
     }
@@ -452,7 +453,7 @@
 void
 kr_shard_job_event (KrShard *p, const KrKeyValue *item)
 {
-  if (!item->value || !p->have_record)
+  if (!item->value || !p->record_loaded)
     return;
   const char *id = item->key + strlen ("job/");
   KrJob *job = kr_shard_job (p, id);
@@ -478,7 +479,7 @@
     return;
   }
   g_hash_table_insert (p->jobs, job->spec->id, kr_live_job_new (p, job));
-  if (p->have_jobs)
+  if (p->jobs_loaded)
     count_launches (p); /* of a job that was read only now */
   kr_info ("job %s: %s, %s, %u tasks of %g CPUs, part %u", id, job->spec->job_class,
            job->spec->team, job->spec->tasks, job->spec->cpus, p->index);
@@ -487,10 +488,10 @@
     *r = (ChunkRead){ kr_shard_ref (p), g_strdup (id), c };
     read_chunk (r);
   }
-  if (p->have_jobs && is_final (job))
+  if (p->jobs_loaded && is_final (job))
     kr_shard_flush_progress (p);
-  if (p->have_jobs && !p->preempt_soon) /* those who cannot wait for the next tick */
-    p->preempt_soon = kr_timer_add (KR_WATCH_INTERVAL_MS, preempt_now, p);
+  if (p->jobs_loaded && !p->preempt_timer) /* those who cannot wait for the next tick */
+    p->preempt_timer = kr_timer_add (KR_WATCH_INTERVAL_MS, preempt_now, p);
 }
 
 void
@@ -499,7 +500,7 @@
   json_t *o;
   size_t i;
 
-  if (!shard->have_record)
+  if (!shard->record_loaded)
     return;
   json_array_foreach (items, i, o)
   {
@@ -507,10 +508,10 @@
     if (kr_wire_key_value_parse (o, &item))
       kr_shard_job_event (shard, &item);
   }
-  if (shard->have_jobs)
+  if (shard->jobs_loaded)
     return;
-  shard->have_jobs = TRUE;
-  shard->phase = FENCING;
+  shard->jobs_loaded = TRUE;
+  shard->phase = SHARD_FENCING;
   count_launches (shard);
   kr_info ("part %u: %u jobs, %u machines read", shard->index, g_hash_table_size (shard->jobs),
            g_hash_table_size (shard->machines));
@@ -523,7 +524,7 @@
 kr_shard_job_counts (KrShard *shard, const char *id, guint *done, guint *running)
 {
   KrJob *job = kr_shard_job (shard, id);
-  if (!job || !shard->have_jobs)
+  if (!job || !shard->jobs_loaded)
     return FALSE;
   *done = job->n_done;
   *running = job->n_active;
--- a/src/shard-record.c
+++ b/src/shard-record.c
@@ -57,7 +57,7 @@
       continue;
     /* Unknown outcome: it may be executed later, and until that is ruled out the machine stays out
      * of use. kr_shard_write_record writes its chunk anew, which rules it out. */
-    machine->moving = machine->move_unknown = status == 0;
+    machine->moving = machine->move_outcome_unknown = status == 0;
   }
 }
 
@@ -67,8 +67,8 @@
   RecordWrite *w = data;
   KrShard *shard = w->shard;
 
-  shard->record_busy = FALSE;
-  if (!shard->gone) {
+  shard->record_write_in_flight = FALSE;
+  if (!shard->closed) {
     if (w->moving)
       moved (w, status);
     if (status == 200) {
@@ -86,7 +86,7 @@
 {
   w->shard = kr_shard_ref (shard);
   kr_record_update_add_to_txn (w->draft, txn);
-  shard->record_busy = TRUE;
+  shard->record_write_in_flight = TRUE;
   kr_state_commit (shard->node->state_client, txn, KR_QUEUE_HIGH, KR_STATE_TIMEOUT_MS,
                    shard->cancel, record_written, w);
 }
@@ -97,12 +97,12 @@
 {
   const KrOwnerHistory *claim = kr_membership_owner_history (shard->node->membership, shard->index);
   const char *node = shard->node->settings->node_name;
-  if (shard->phase == OPEN)
+  if (shard->phase == SHARD_OPEN)
     return claim->all_fenced ? NULL : kr_owner_history_value_without_earlier (node, TRUE);
   /* A successor of ours need not ask those again who have given us their word. */
   gboolean earlier = claim->earlier_owners && claim->earlier_owners->len > 0;
-  return shard->quiet_since && earlier ? kr_owner_history_value_without_earlier (node, FALSE)
-                                       : NULL;
+  return shard->former_stopped_at && earlier ? kr_owner_history_value_without_earlier (node, FALSE)
+                                             : NULL;
 }
 
 /* Brings the record in line with what we know: used, addresses, deletions, settled. */
@@ -115,13 +115,14 @@
 
   /* Not more often than each second, and never at the cost of accepts: machines that boot by the
    * dozen would take the whole budget one by one. A takeover does not wait. */
-  if (shard->record_busy || !shard->have_record || shard->gone ||
-      (shard->phase == OPEN &&
+  if (shard->record_write_in_flight || !shard->record_loaded || shard->closed ||
+      (shard->phase == SHARD_OPEN &&
        kr_membership_owner_history (shard->node->membership, shard->index)->all_fenced &&
-       (kr_now () < shard->next_record || kr_state_spare_writes (shard->node->state_client) == 0)))
+       (kr_now () < shard->next_record_write_at ||
+        kr_state_spare_writes (shard->node->state_client) == 0)))
     return;
   KrRecordUpdate *draft = kr_record_update_new (shard->node->machine_records);
-  g_hash_table_iter_init (&it, shard->leaving);
+  g_hash_table_iter_init (&it, shard->deleted_ids);
   while (kr_record_update_ops (draft) < most && g_hash_table_iter_next (&it, &id, NULL)) {
     const KrMachineRecord *member = kr_machine_records_find (shard->node->machine_records, id);
     if (member && member->shard == shard->index)
@@ -134,7 +135,7 @@
     KrMachine *machine = value;
     if (!machine->used && machine->use_pending)
       kr_record_update_set (draft, id, machine->endpoint);
-    else if (machine->move_unknown)
+    else if (machine->move_outcome_unknown)
       kr_record_update_touch (draft, id);
   }
   json_t *claim = claim_due (shard);
@@ -147,7 +148,7 @@
   /* The record has half of this node's writes at most, and a machine that boots waits for it. */
   double pause = kr_record_update_ops (draft) /
                  (KR_RECORD_WRITE_SHARE * kr_state_write_burst (shard->node->state_client));
-  shard->next_record =
+  shard->next_record_write_at =
       kr_now () + kr_seconds_to_us (CLAMP (pause, KR_RECORD_INTERVAL_MIN_S, KR_TICK_MS / 1000.0));
   w->claim = claim;
   commit (shard, claim ? kr_shard_owner_history_txn (shard, claim) : kr_shard_owner_txn (shard), w);
@@ -165,13 +166,13 @@
 kr_shard_store_summary (KrShard *shard)
 {
   gint64 now = kr_now ();
-  if (shard->phase != OPEN || now < shard->next_tell ||
+  if (shard->phase != SHARD_OPEN || now < shard->next_summary_at ||
       now - kr_provisioner_last_polled (shard->node->provisioner) <
           kr_seconds_to_us (KR_LEADER_SILENCE_S) ||
       g_hash_table_size (shard->jobs) == 0 ||
       kr_state_spare_writes (shard->node->state_client) == 0)
     return;
-  shard->next_tell = now + KR_STORED_SUMMARY_INTERVAL_MS * G_GINT64_CONSTANT (1000);
+  shard->next_summary_at = now + KR_STORED_SUMMARY_INTERVAL_MS * G_GINT64_CONSTANT (1000);
   json_t *s = kr_shard_summary (shard), *needs = json_object_get (s, "Needs");
   gsize most = (gsize) (shard->node->settings->state_value_kb * 1024 - KR_VALUE_SLACK_BYTES) /
                KR_DEMAND_BYTES;
@@ -208,7 +209,7 @@
 void
 kr_shard_remove_duplicate_records (KrShard *shard)
 {
-  if (shard->record_busy || !shard->have_record || shard->gone)
+  if (shard->record_write_in_flight || !shard->record_loaded || shard->closed)
     return;
   Strays strays = { shard, kr_record_update_new (shard->node->machine_records) };
   kr_machine_records_foreach_duplicate (shard->node->machine_records, shard->index, remove_stray,
@@ -241,7 +242,7 @@
       shard->node->settings->state_txn_ops - 1; /* a further machine may touch two chunks */
 
   /* Others' writes come first: a move is worth little while accepts wait. */
-  if (shard->record_busy || shard->phase != OPEN || shard->gone ||
+  if (shard->record_write_in_flight || shard->phase != SHARD_OPEN || shard->closed ||
       kr_state_spare_writes (shard->node->state_client) == 0)
     return;
   KrRecordUpdate *draft = kr_record_update_new (shard->node->machine_records);
@@ -276,11 +277,11 @@
 {
   KrShard *shard = data;
   KrMachine *machine = kr_shard_machine (shard, id);
-  if (g_hash_table_contains (shard->leaving, id))
+  if (g_hash_table_contains (shard->deleted_ids, id))
     return;
   if (!machine) {
     machine = kr_machine_new (id);
-    machine->joined = machine->idle_since = kr_now ();
+    machine->joined_at = machine->idle_since = kr_now ();
     g_hash_table_insert (shard->machines, machine->id, machine);
     kr_debug ("part %u: machine %s joined", shard->index, id);
   }
@@ -288,8 +289,8 @@
   if (!machine->endpoint && machine->used)
     machine->endpoint = g_strdup (member->address);
   /* The chunk was written since: what named its earlier revision will not be executed any more. */
-  if (machine->move_unknown && member->revision != machine->chunk_revision)
-    machine->moving = machine->move_unknown = FALSE;
+  if (machine->move_outcome_unknown && member->revision != machine->chunk_revision)
+    machine->moving = machine->move_outcome_unknown = FALSE;
   machine->chunk_revision = member->revision;
 }
 
@@ -315,7 +316,7 @@
   }
   machine->must_fence = TRUE;
   machine->fenced = FALSE;
-  kr_shard_delete_machine (shard, machine, KR_LEFT_RECORD);
+  kr_shard_delete_machine (shard, machine, KR_DELETED_FROM_RECORD_REASON);
   return FALSE;
 }
 
@@ -325,7 +326,7 @@
   GHashTableIter it;
   gpointer value;
 
-  if (!shard->have_record)
+  if (!shard->record_loaded)
     return;
   kr_machine_records_foreach (shard->node->machine_records, shard->index, walk_member, shard);
   g_hash_table_iter_init (&it, shard->machines);
--- a/src/shard-takeover.c
+++ b/src/shard-takeover.c
@@ -26,14 +26,14 @@
 static KrMachine *
 fence_machine (const Fence *fence)
 {
-  return fence->shard->gone ? NULL : kr_shard_machine (fence->shard, fence->id);
+  return fence->shard->closed ? NULL : kr_shard_machine (fence->shard, fence->id);
 }
 
 static void
 fence_over (Fence *fence, gboolean reached)
 {
   KrMachine *machine = fence_machine (fence);
-  fence->shard->fencing--;
+  fence->shard->fence_calls--;
   if (machine) {
     machine->fencing = FALSE;
     machine->fence_failures += !reached;
@@ -74,7 +74,7 @@
   Fence *fence = g_new (Fence, 1);
   *fence = (Fence){ kr_shard_ref (shard), g_strdup (machine->id) };
   machine->fencing = TRUE;
-  shard->fencing++;
+  shard->fence_calls++;
   kr_worker_get_report (shard->node->worker_client, machine->endpoint, shard->cancel, shown, fence);
 }
 
@@ -97,7 +97,7 @@
 static const char *
 give_up (KrShard *shard, const KrMachine *machine, guint unreached, guint used, gint64 now)
 {
-  double age = (double) (now - shard->taken_at) / G_USEC_PER_SEC;
+  double age = (double) (now - shard->acquired_at) / G_USEC_PER_SEC;
   if (machine->fence_failures < 1)
     return NULL;
   /* Guards against one that reports, but hears neither answers nor commands: the part would stay
@@ -107,13 +107,13 @@
                ? "it reports, but takes no command"
                : NULL;
   /* It was up, so lists showed it; the newest, read since, does not. */
-  if (shard->listed_at > shard->taken_at && !machine->listed)
+  if (shard->listed_at > shard->acquired_at && !machine->listed)
     return "not reached, and no longer listed";
   /* One lost machine must not keep a part with hundreds of others closed for a whole lease. */
   if (machine->fence_failures >= KR_FENCE_TRIES && unreached <= used / KR_FENCE_FEW_DIVISOR &&
       age > KR_FENCE_FEW_S)
     return "not reached while others were";
-  if (!shard->only_ours && machine->fence_failures >= KR_FENCE_TRIES && age > KR_FENCE_GRACE_S)
+  if (!shard->only_this_node && machine->fence_failures >= KR_FENCE_TRIES && age > KR_FENCE_GRACE_S)
     return "not reached by the new owner";
   return NULL;
 }
@@ -144,8 +144,8 @@
       continue;
     /* Nobody who may obey or answer it does so any more, so its lease is over: also where the cloud
      * does not delete it. */
-    if (shard->quiet_since &&
-        kr_lease_expired (MAX (shard->quiet_since, machine->lease_renewed_at),
+    if (shard->former_stopped_at &&
+        kr_lease_expired (MAX (shard->former_stopped_at, machine->lease_renewed_at),
                           kr_membership_lease_confirmed_at (shard->node->membership),
                           settings->worker_lease_s)) {
       kr_info ("machine %s: not reached, its lease is over", machine->id);
@@ -160,8 +160,8 @@
         kr_shard_delete_machine (shard, machine, why))
       continue;
     /* One that we answer will show our token by itself. */
-    if (!machine->endpoint || machine->fencing || shard->fencing >= window ||
-        (machine->fence_failures >= KR_FENCE_TRIES && now < machine->next_call) ||
+    if (!machine->endpoint || machine->fencing || shard->fence_calls >= window ||
+        (machine->fence_failures >= KR_FENCE_TRIES && now < machine->next_call_at) ||
         (machine->lease_renewed_at &&
          now - machine->lease_renewed_at < kr_seconds_to_us (2 * settings->report_interval_s)))
       continue;
@@ -174,15 +174,15 @@
 {
   GHashTableIter it;
   gpointer value;
-  if (shard->phase != FENCING)
+  if (shard->phase != SHARD_FENCING)
     return;
   g_hash_table_iter_init (&it, shard->machines);
   while (kr_shard_next_machine (shard, &it, &value))
     if (kr_shard_needs_fence (value))
       return;
-  shard->phase = OPEN;
+  shard->phase = SHARD_OPEN;
   kr_info ("part %u: open, %.1f s after the takeover", shard->index,
-           (double) (kr_now () - shard->taken_at) / G_USEC_PER_SEC);
+           (double) (kr_now () - shard->acquired_at) / G_USEC_PER_SEC);
   kr_shard_write_record (shard);
   kr_shard_flush_progress (shard);
 }
@@ -209,10 +209,10 @@
 static void
 check_quiet (KrShard *shard, gint64 now)
 {
-  for (guint i = 0; i < shard->former->len; i++)
-    if (!((KrFormerOwner *) shard->former->pdata[i])->quiet)
+  for (guint i = 0; i < shard->former_owners->len; i++)
+    if (!((KrFormerOwner *) shard->former_owners->pdata[i])->stopped)
       return;
-  shard->quiet_since = now;
+  shard->former_stopped_at = now;
   kr_shard_write_record (shard);
 }
 
@@ -224,10 +224,10 @@
   KrFormerOwner *former = question->former;
   gint64 now = kr_now ();
 
-  former->asking = FALSE;
-  former->next_ask = now + KR_TAKEOVER_ASK_INTERVAL_MS * G_GINT64_CONSTANT (1000);
-  if (status == 200 && !shard->gone) {
-    former->quiet = TRUE;
+  former->request_in_flight = FALSE;
+  former->next_request_at = now + KR_TAKEOVER_ASK_INTERVAL_MS * G_GINT64_CONSTANT (1000);
+  if (status == 200 && !shard->closed) {
+    former->stopped = TRUE;
     kr_info ("part %u: %s answers its machines no more", shard->index, former->node);
     check_quiet (shard, now);
   }
@@ -238,14 +238,14 @@
 static void
 ask_former_owners (KrShard *shard, gint64 now)
 {
-  for (guint i = 0; shard->former && i < shard->former->len; i++) {
-    KrFormerOwner *former = shard->former->pdata[i];
+  for (guint i = 0; shard->former_owners && i < shard->former_owners->len; i++) {
+    KrFormerOwner *former = shard->former_owners->pdata[i];
     const KrPeerSettings *peer = kr_settings_peer (shard->node->settings, former->node);
-    if (former->quiet || former->asking || now < former->next_ask || !peer)
+    if (former->stopped || former->request_in_flight || now < former->next_request_at || !peer)
       continue;
     Question *question = g_new (Question, 1);
     *question = (Question){ kr_shard_ref (shard), former };
-    former->asking = TRUE;
+    former->request_in_flight = TRUE;
     kr_http_client_call (shard->node->peer_client, "POST", peer->addr, KR_PEER_TAKEOVERS,
                          json_pack ("{sI ss sI}", "Part", (json_int_t) shard->index, "Owner",
                                     shard->node->settings->node_name, "Token",
@@ -278,24 +278,24 @@
   const char *self = shard->node->settings->node_name;
   g_autoptr (GPtrArray) names = kr_owner_history_former_owners (claim);
 
-  g_clear_pointer (&shard->former, g_ptr_array_unref);
+  g_clear_pointer (&shard->former_owners, g_ptr_array_unref);
   if (!names) {
     if (claim->revision)
       kr_info ("part %u: its claim does not tell who answered its machines", shard->index);
     return;
   }
-  shard->former = g_ptr_array_new_with_free_func (former_owner_free);
-  shard->only_ours = TRUE;
+  shard->former_owners = g_ptr_array_new_with_free_func (former_owner_free);
+  shard->only_this_node = TRUE;
   for (guint i = 0; i < names->len; i++) {
     KrFormerOwner *former = g_new0 (KrFormerOwner, 1);
     former->node = g_strdup (names->pdata[i]);
     /* Our own earlier process is over, whichever it was. */
-    former->quiet = g_str_equal (former->node, self);
-    shard->only_ours = shard->only_ours && former->quiet;
-    g_ptr_array_add (shard->former, former);
+    former->stopped = g_str_equal (former->node, self);
+    shard->only_this_node = shard->only_this_node && former->stopped;
+    g_ptr_array_add (shard->former_owners, former);
   }
-  if (shard->only_ours)
-    shard->quiet_since = shard->taken_at;
+  if (shard->only_this_node)
+    shard->former_stopped_at = shard->acquired_at;
 }
 
 /* --- its steps ------------------------------------------------------------------------ */
@@ -305,14 +305,14 @@
 fence_tick (gpointer data)
 {
   KrShard *shard = data;
-  if (shard->phase == FENCING) {
+  if (shard->phase == SHARD_FENCING) {
     ask_former_owners (shard, kr_now ());
     fence (shard, kr_now ());
     kr_shard_try_open (shard);
   }
-  if (shard->phase != OPEN)
+  if (shard->phase != SHARD_OPEN)
     return G_SOURCE_CONTINUE;
-  shard->fence_tick = 0;
+  shard->fence_timer = 0;
   return G_SOURCE_REMOVE;
 }
 
@@ -320,7 +320,7 @@
 scan_again (gpointer data)
 {
   KrShard *shard = data;
-  if (!shard->gone)
+  if (!shard->closed)
     kr_membership_relist (shard->node->membership);
   kr_shard_unref (shard);
   return G_SOURCE_REMOVE;
@@ -332,13 +332,13 @@
   KrShard *shard = data;
   GHashTableIter it;
   gpointer machine;
-  json_t *value = g_steal_pointer (&shard->claim_written);
+  json_t *value = g_steal_pointer (&shard->owner_history_write);
 
   if (status == 200)
     kr_membership_apply_owner_history (shard->node->membership, shard->index, value,
                                        kr_wire_revision (body));
   json_decref (value);
-  if (shard->gone) {
+  if (shard->closed) {
     kr_shard_unref (shard);
     return;
   }
@@ -346,7 +346,7 @@
     kr_timer_add (KR_STATE_RETRY_MS, scan_again, shard);
     return;
   }
-  shard->have_record = TRUE;
+  shard->record_loaded = TRUE;
   kr_shard_record_changed (shard);
   g_hash_table_iter_init (&it, shard->machines);
   while (kr_shard_next_machine (shard, &it, &machine))
@@ -363,17 +363,18 @@
 kr_shard_membership_relisted (KrShard *shard)
 {
   const KrOwnerHistory *claim = kr_membership_owner_history (shard->node->membership, shard->index);
-  if (shard->have_record || shard->claim_written)
+  if (shard->record_loaded || shard->owner_history_write)
     return;
   note_former_owners (shard);
-  shard->claim_written = kr_owner_history_takeover_value (claim, shard->node->settings->node_name);
+  shard->owner_history_write =
+      kr_owner_history_takeover_value (claim, shard->node->settings->node_name);
   kr_state_commit (shard->node->state_client,
-                   kr_shard_owner_history_txn (shard, shard->claim_written), KR_QUEUE_HIGH,
+                   kr_shard_owner_history_txn (shard, shard->owner_history_write), KR_QUEUE_HIGH,
                    KR_STATE_TIMEOUT_MS, shard->cancel, claimed, kr_shard_ref (shard));
 }
 
 void
 kr_takeover_begin (KrShard *shard)
 {
-  shard->fence_tick = kr_timer_add (KR_FENCE_CHECK_MS, fence_tick, shard);
+  shard->fence_timer = kr_timer_add (KR_FENCE_CHECK_MS, fence_tick, shard);
 }
--- a/src/shard.c
+++ b/src/shard.c
@@ -21,12 +21,12 @@
     return;
   g_hash_table_unref (shard->jobs); /* before the machines: it lets go of their launches */
   g_hash_table_unref (shard->machines);
-  g_hash_table_unref (shard->ended);
+  g_hash_table_unref (shard->ended_jobs);
   g_ptr_array_unref (shard->live_jobs);
-  g_ptr_array_unref (shard->held);
-  g_free (shard->used);
-  g_hash_table_unref (shard->leaving);
-  g_clear_pointer (&shard->former, g_ptr_array_unref);
+  g_ptr_array_unref (shard->held_machines);
+  g_free (shard->team_usage);
+  g_hash_table_unref (shard->deleted_ids);
+  g_clear_pointer (&shard->former_owners, g_ptr_array_unref);
   g_object_unref (shard->cancel);
   g_free (shard);
 }
@@ -46,14 +46,14 @@
 gboolean
 kr_shard_next_machine (KrShard *shard, GHashTableIter *it, gpointer *machine)
 {
-  shard->walked++;
+  shard->machine_visits++;
   return g_hash_table_iter_next (it, NULL, machine);
 }
 
 guint64
 kr_shard_machine_visits (KrShard *shard)
 {
-  return shard->walked;
+  return shard->machine_visits;
 }
 
 KrJob *
@@ -73,13 +73,13 @@
 void
 kr_shard_add_attempt (KrShard *shard, KrAttempt *attempt)
 {
-  KrLiveJob *live_job = g_hash_table_lookup (shard->jobs, attempt->job);
+  KrLiveJob *live_job = g_hash_table_lookup (shard->jobs, attempt->job_id);
   if (!live_job || attempt->live_job || attempt->state == KR_TASK_EXITED)
     return;
   const KrJob *job = live_job->job;
   /* Guards against a second copy: a completed, cancelled or elsewhere active task must not run. */
-  if (job->cancelled || kr_job_is_done (job, attempt->index) ||
-      (attempt->index < job->spec->tasks && job->active[attempt->index]))
+  if (job->cancelled || kr_job_is_done (job, attempt->task_index) ||
+      (attempt->task_index < job->spec->tasks && job->active[attempt->task_index]))
     attempt->kill = KR_KILL_NOW;
   kr_live_job_add_attempt (live_job, attempt);
 }
@@ -91,7 +91,7 @@
   GHashTableIter it;
   gpointer id;
 
-  machine->pause_until = now + kr_seconds_to_us (KR_JOB_BACKOFF_S / 2);
+  machine->no_start_until = now + kr_seconds_to_us (KR_JOB_BACKOFF_S / 2);
   g_hash_table_add (job->failed_on, g_strdup (machine->id));
   job->failed_at = now;
   job->longest_failed_run_s = MAX (job->longest_failed_run_s, ran_s);
@@ -142,9 +142,9 @@
 static void
 task_done (KrShard *shard, KrMachine *machine, KrJob *job, KrAttempt *attempt, gint64 now)
 {
-  if (!kr_job_is_done (job, attempt->index)) {
+  if (!kr_job_is_done (job, attempt->task_index)) {
     if (job->spec->kind != KR_JOB_KIND_SERVICE) /* a service's task starts again */
-      kr_job_set_done (job, attempt->index);
+      kr_job_set_done (job, attempt->task_index);
     job->progress_dirty = TRUE;
     if (attempt->running_since && !attempt->adopted) {
       judge_pace (machine, job, kr_attempt_run_time_s (attempt, now));
@@ -162,13 +162,13 @@
 task_exited (KrShard *shard, KrMachine *machine, KrJob *job, KrAttempt *attempt)
 {
   gint64 now = kr_now ();
-  if (attempt->why == KR_EXIT_DONE)
+  if (attempt->exit_reason == KR_EXIT_DONE)
     task_done (shard, machine, job, attempt, now);
-  else if (attempt->why == KR_EXIT_ERROR) {
-    kr_info ("task %s/%u: error on %s", attempt->job, attempt->index, machine->id);
+  else if (attempt->exit_reason == KR_EXIT_ERROR) {
+    kr_info ("task %s/%u: error on %s", attempt->job_id, attempt->task_index, machine->id);
     task_failed (shard, machine, job, kr_attempt_run_time_s (attempt, now), now);
-  } else if (attempt->why == KR_EXIT_REFUSED || attempt->why == KR_EXIT_UNKNOWN)
-    kr_info ("task %s/%u: start refused by %s", attempt->job, attempt->index, machine->id);
+  } else if (attempt->exit_reason == KR_EXIT_REFUSED || attempt->exit_reason == KR_EXIT_UNKNOWN)
+    kr_info ("task %s/%u: start refused by %s", attempt->job_id, attempt->task_index, machine->id);
   if (job->cancelled)
     kr_shard_flush_progress (shard);
 }
@@ -180,7 +180,7 @@
   guint shift =
       KR_UNDELIVERED_BACKOFF_SHIFT * MIN (machine->undelivered, KR_UNDELIVERED_BACKOFF_STEPS);
   double pause_s = MIN (KR_UNDELIVERED_BACKOFF_MAX_S, KR_UNDELIVERED_BACKOFF_S * (1u << shift));
-  machine->pause_until = kr_now () + kr_seconds_to_us (pause_s);
+  machine->no_start_until = kr_now () + kr_seconds_to_us (pause_s);
   machine->undelivered++;
   kr_info ("machine %s: a launch did not reach it, no further ones for a while", machine->id);
 }
@@ -190,11 +190,11 @@
                            gpointer data)
 {
   KrShard *shard = data;
-  KrJob *job = kr_shard_job (shard, attempt->job);
+  KrJob *job = kr_shard_job (shard, attempt->job_id);
 
   switch (what) {
   case KR_ATTEMPT_DISCOVERED:
-    if (shard->have_jobs)
+    if (shard->jobs_loaded)
       kr_shard_add_attempt (shard, attempt);
     break;
   case KR_ATTEMPT_CONFIRMED:
@@ -204,22 +204,22 @@
     pause_unheard (machine);
     break;
   case KR_ATTEMPT_STARTED:
-    kr_debug ("task %s/%u: runs on %s", attempt->job, attempt->index, machine->id);
+    kr_debug ("task %s/%u: runs on %s", attempt->job_id, attempt->task_index, machine->id);
     if (job) {
-      g_hash_table_add (machine->images, g_strdup (job->spec->image));
+      g_hash_table_add (machine->cached_images, g_strdup (job->spec->image));
       job->progress_dirty = TRUE;
     }
     break;
   case KR_ATTEMPT_EXITED:
-    kr_debug ("task %s/%u: exited on %s (%d)", attempt->job, attempt->index, machine->id,
-              attempt->why);
+    kr_debug ("task %s/%u: exited on %s (%d)", attempt->job_id, attempt->task_index, machine->id,
+              attempt->exit_reason);
     kr_live_job_remove_attempt (attempt);
     if (job)
       task_exited (shard, machine, job, attempt);
     break;
   case KR_ATTEMPT_GONE:
     if (attempt->state != KR_TASK_EXITED)
-      kr_debug ("task %s/%u: gone from %s (%s)", attempt->job, attempt->index, machine->id,
+      kr_debug ("task %s/%u: gone from %s (%s)", attempt->job_id, attempt->task_index, machine->id,
                 kr_gone_reason_name (attempt->gone_reason));
     kr_live_job_remove_attempt (attempt);
     if (job && job->cancelled)
@@ -251,18 +251,19 @@
 {
   for (guint i = 0; i < machine->attempts->len; i++) {
     KrAttempt *attempt = machine->attempts->pdata[i];
-    KrJob *job = attempt->live_job ? kr_attempt_job (attempt) : kr_shard_job (shard, attempt->job);
+    KrJob *job =
+        attempt->live_job ? kr_attempt_job (attempt) : kr_shard_job (shard, attempt->job_id);
     if (attempt->state == KR_TASK_EXITED) {
       /* Cleared only once the outcome is durable: until then the worker is the only witness. */
-      if (attempt->why != KR_EXIT_DONE || (job && job->spec->kind == KR_JOB_KIND_SERVICE) ||
-          (shard->have_jobs && !job) || (job && kr_job_is_persisted (job, attempt->index)) ||
+      if (attempt->exit_reason != KR_EXIT_DONE || (job && job->spec->kind == KR_JOB_KIND_SERVICE) ||
+          (shard->jobs_loaded && !job) || (job && kr_job_is_persisted (job, attempt->task_index)) ||
           (job && job->cancelled))
-        kr_wire_order_clear (orders, attempt->job, attempt->index, attempt->attempt_id);
+        kr_wire_order_clear (orders, attempt->job_id, attempt->task_index, attempt->attempt_id);
     } else {
-      if (shard->have_jobs && !job)
+      if (shard->jobs_loaded && !job)
         attempt->kill = KR_KILL_NOW; /* its job is over */
       if (to_kill (attempt))
-        kr_wire_order_kill (orders, attempt->job, attempt->index, attempt->attempt_id,
+        kr_wire_order_kill (orders, attempt->job_id, attempt->task_index, attempt->attempt_id,
                             slack (shard, attempt));
     }
   }
@@ -304,7 +305,7 @@
 {
   Contact *contact = data;
   KrShard *shard = contact->shard;
-  KrMachine *machine = shard->gone ? NULL : kr_shard_machine (shard, contact->id);
+  KrMachine *machine = shard->closed ? NULL : kr_shard_machine (shard, contact->id);
 
   if (machine) {
     machine->command_in_flight = FALSE;
@@ -321,7 +322,7 @@
 void
 kr_shard_command_kills (KrShard *shard, KrMachine *machine)
 {
-  if (!machine->endpoint || !machine->session || kr_now () < machine->next_call)
+  if (!machine->endpoint || !machine->session || kr_now () < machine->next_call_at)
     return;
   /* One at a time: it carries all kills, and what piles up costs the whole loop its turns. */
   if (machine->command_in_flight) {
@@ -333,7 +334,7 @@
     KrAttempt *attempt = machine->attempts->pdata[i];
     /* In doubt: a direct kill may overtake the run; it is repeated in the responses. */
     if (to_kill (attempt))
-      kr_wire_order_kill (orders, attempt->job, attempt->index, attempt->attempt_id,
+      kr_wire_order_kill (orders, attempt->job_id, attempt->task_index, attempt->attempt_id,
                           slack (shard, attempt));
   }
   if (kr_wire_orders_count (orders) == 0) {
@@ -351,7 +352,7 @@
 note_deletion (KrShard *shard, guint status)
 {
   gboolean refused = status != 200;
-  if (shard->gone || refused == shard->deletions_refused)
+  if (shard->closed || refused == shard->deletions_refused)
     return;
   shard->deletions_refused = refused;
   if (refused)
@@ -366,11 +367,11 @@
 {
   Contact *contact = data;
   KrShard *shard = contact->shard;
-  KrMachine *machine = shard->gone ? NULL : kr_shard_machine (shard, contact->id);
+  KrMachine *machine = shard->closed ? NULL : kr_shard_machine (shard, contact->id);
 
   if (machine && status == 200) {
     kr_shard_remove_machine (shard, machine, KR_GONE_DELETED);
-    g_hash_table_add (shard->leaving, g_strdup (machine->id));
+    g_hash_table_add (shard->deleted_ids, g_strdup (machine->id));
     g_hash_table_remove (shard->machines, machine->id);
     kr_shard_write_record (shard);
   } else if (machine) {
@@ -403,7 +404,7 @@
 kr_shard_return_machine (KrShard *shard, const char *id)
 {
   KrMachine *machine = kr_shard_machine (shard, id);
-  if (machine && shard->phase == OPEN && machine->attempts->len == 0 && machine->move_to < 0)
+  if (machine && shard->phase == SHARD_OPEN && machine->attempts->len == 0 && machine->move_to < 0)
     kr_shard_delete_machine (shard, machine, "no longer needed");
 }
 
@@ -411,7 +412,7 @@
 kr_shard_mark_for_move (KrShard *shard, const char *id, guint to)
 {
   KrMachine *machine = kr_shard_machine (shard, id);
-  if (machine && shard->phase == OPEN && !machine->drain && !machine->moving &&
+  if (machine && shard->phase == SHARD_OPEN && !machine->drain && !machine->moving &&
       to < shard->node->settings->shard_count)
     machine->move_to = to == shard->index ? -1 : (gint) to;
 }
@@ -441,7 +442,7 @@
     if (listed) {
       machine->listed = TRUE;
       machine->missing_since = 0;
-      if (!machine->known && !machine->type) {
+      if (!machine->has_reported && !machine->type) {
         machine->type = g_strdup (listed->type);
         machine->zone = g_strdup (listed->zone);
         machine->spot = listed->spot;
@@ -461,7 +462,7 @@
                !machine->missing_since)
       machine->missing_since = now; /* what is used was up once, and so listed */
     else if (!machine->listed && !machine->last_report_at &&
-             now - machine->joined > kr_seconds_to_us (KR_UNLISTED_MACHINE_S + 4 * lag))
+             now - machine->joined_at > kr_seconds_to_us (KR_UNLISTED_MACHINE_S + 4 * lag))
       kr_shard_delete_machine (shard, machine, "never listed"); /* adopted from a stale list */
     /* A list may be older than the one before: wait for the worst lag, then have the cloud say so
      * (200 to a deletion is proof; missing from a list is not). */
@@ -500,20 +501,20 @@
   if (!machine->pending_request)
     return;
   kr_request_reply (g_steal_pointer (&machine->pending_request), 503, NULL, 0);
-  g_ptr_array_remove_fast (shard->held, machine);
+  g_ptr_array_remove_fast (shard->held_machines, machine);
 }
 
 void
 kr_shard_answer_held_reports (KrShard *shard)
 {
   gint64 now = kr_now ();
-  for (guint i = shard->held->len; i-- > 0;) {
-    KrMachine *machine = shard->held->pdata[i];
+  for (guint i = shard->held_machines->len; i-- > 0;) {
+    KrMachine *machine = shard->held_machines->pdata[i];
     gboolean late =
         now - machine->pending_since >= KR_FIRST_REPORT_HOLD_MS * G_GINT64_CONSTANT (1000);
     /* Guards against a lease renewed by an owner that has not read which jobs are cancelled: with
      * the state service out for long, their tasks would run on, and nobody would know. */
-    if (!shard->have_jobs) {
+    if (!shard->jobs_loaded) {
       if (late)
         let_go (shard, machine);
       continue;
@@ -527,7 +528,7 @@
       let_go (shard, machine);
       continue;
     }
-    g_ptr_array_remove_index_fast (shard->held, i);
+    g_ptr_array_remove_index_fast (shard->held_machines, i);
     answer (shard, machine, g_steal_pointer (&machine->pending_request), now);
   }
 }
@@ -549,8 +550,8 @@
   gboolean given_up =
       machine && machine->drain && kr_shard_needs_fence (machine) && report->token < shard->token;
   if (!machine || machine->deleting || given_up) {
-    kr_request_reply (request, machine || !shard->have_record ? 503 : 421, kr_wire_redirect (NULL),
-                      0);
+    kr_request_reply (request, machine || !shard->record_loaded ? 503 : 421,
+                      kr_wire_redirect (NULL), 0);
     return;
   }
   if (report->token > shard->token) {
@@ -562,11 +563,11 @@
     kr_request_reply (request, 421, kr_wire_redirect (other ? holder->node : NULL), 0);
     return;
   }
-  shard->last_beat = now;
+  shard->last_report_at = now;
   KrReportFreshness news = kr_machine_apply_report (machine, report, TRUE, shard->token, now,
                                                     kr_shard_on_attempt_event, shard);
-  shard->overtaken += news == KR_REPORT_OVERTAKEN;
-  if (news == KR_REPORT_OVERTAKEN && shard->have_jobs) {
+  shard->overtaken_reports += news == KR_REPORT_OVERTAKEN;
+  if (news == KR_REPORT_OVERTAKEN && shard->jobs_loaded) {
     renew_lease (machine, request, kr_wire_orders_new (shard->token), now);
     return;
   }
@@ -578,7 +579,7 @@
   machine->lease_renewed_at = now;
   if (kr_machine_count_unfinished (machine))
     machine->idle_since = now;
-  if (machine->used && shard->have_jobs) {
+  if (machine->used && shard->jobs_loaded) {
     answer (shard, machine, request, now);
     return;
   }
@@ -588,7 +589,7 @@
   machine->use_pending = !machine->used;
   machine->pending_request = request;
   machine->pending_since = now;
-  g_ptr_array_add (shard->held, machine);
+  g_ptr_array_add (shard->held_machines, machine);
   kr_shard_write_record (shard);
 }
 
@@ -624,7 +625,7 @@
   const KrMachineType *type =
       machine->type ? kr_node_machine_type (shard->node, machine->type) : NULL;
   double left = type ? type->cpus : 0;
-  if (!machine->known) {
+  if (!machine->has_reported) {
     status->starting++;
     return;
   }
@@ -659,7 +660,7 @@
       "%u overtaken reports, %u invariants broken",
       shard->index, shard->live_jobs->len, waiting, status.up, status.starting, status.running,
       status.fetching, status.doubt, status.held, status.leaving, status.unusable, status.open,
-      shard->overtaken, kr_invariant_violations ());
+      shard->overtaken_reports, kr_invariant_violations ());
 }
 
 /* What is on a machine whose lease is over is gone; one that stays silent goes as well. */
@@ -683,7 +684,7 @@
   machine->idle_since = now;
   if (now - machine->last_report_at >
           kr_seconds_to_us (settings->worker_lease_s + KR_SILENT_MACHINE_DELETE_S) &&
-      (now - shard->last_beat < kr_seconds_to_us (2 * settings->report_interval_s) ||
+      (now - shard->last_report_at < kr_seconds_to_us (2 * settings->report_interval_s) ||
        g_hash_table_size (shard->machines) == 1))
     kr_shard_delete_machine (shard, machine, "silent for long");
 }
@@ -697,8 +698,8 @@
     return;
   if (!kr_shard_needs_fence (machine))
     judge_lease (shard, machine, now);
-  else if (shard->phase == OPEN) /* the cloud has refused */
-    kr_shard_delete_machine (shard, machine, KR_LEFT_RECORD);
+  else if (shard->phase == SHARD_OPEN) /* the cloud has refused */
+    kr_shard_delete_machine (shard, machine, KR_DELETED_FROM_RECORD_REASON);
   if (machine->deleting)
     return;
   gboolean cancelled = FALSE, kills = FALSE;
@@ -739,14 +740,14 @@
   gint64 now = kr_now ();
   guint heard = 0;
 
-  if (shard->have_record) {
+  if (shard->record_loaded) {
     g_autoptr (GList) all = g_hash_table_get_values (shard->machines);
     for (GList *l = all; l; l = l->next) {
       heard += ((KrMachine *) l->data)->lease_renewed_at != 0;
       watch_machine (shard, l->data, now);
     }
   }
-  if (kr_log_debug_enabled () && shard->have_jobs && shard->ticks++ % KR_STATUS_TICKS == 0)
+  if (kr_log_debug_enabled () && shard->jobs_loaded && shard->tick_count++ % KR_STATUS_TICKS == 0)
     log_status (shard, now);
   kr_shard_write_record (shard);
   kr_shard_remove_duplicate_records (shard);
@@ -757,11 +758,11 @@
   kr_shard_prune_ended (shard);
   /* Cut off from the workers, but not from the state service: somebody else may reach them. */
   if (heard >= 2 &&
-      now - shard->last_beat >
+      now - shard->last_report_at >
           kr_seconds_to_us (2 * settings->report_interval_s + KR_SHARD_SILENCE_S) &&
       kr_state_seconds_since_answer (shard->node->state_client) < KR_SHARD_SILENCE_S) {
     kr_info ("part %u: no machine reports here any more, handing it on", shard->index);
-    shard->last_beat = now;
+    shard->last_report_at = now;
     kr_membership_release (shard->node->membership, shard->index, KR_SHARD_SILENCE_HOLD_OFF_MS);
   }
   return G_SOURCE_CONTINUE;
@@ -786,15 +787,15 @@
   shard->cancel = kr_cancellable_new_child (node->cancel);
   shard->jobs = g_hash_table_new_full (g_str_hash, g_str_equal, NULL, kr_live_job_free);
   shard->machines = g_hash_table_new_full (g_str_hash, g_str_equal, NULL, kr_machine_free);
-  shard->ended = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
+  shard->ended_jobs = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
   shard->live_jobs = g_ptr_array_new ();
-  shard->held = g_ptr_array_new ();
-  shard->used = g_new0 (KrResources, node->settings->teams->len);
-  shard->leaving = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
-  shard->taken_at = shard->last_beat = kr_now ();
-  shard->tick = kr_timer_add (KR_TICK_MS, tick, shard);
+  shard->held_machines = g_ptr_array_new ();
+  shard->team_usage = g_new0 (KrResources, node->settings->teams->len);
+  shard->deleted_ids = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
+  shard->acquired_at = shard->last_report_at = kr_now ();
+  shard->tick_timer = kr_timer_add (KR_TICK_MS, tick, shard);
   kr_takeover_begin (shard);
-  shard->held_tick = kr_timer_add (KR_FIRST_REPORT_HOLD_CHECK_MS, held_tick, shard);
+  shard->held_timer = kr_timer_add (KR_FIRST_REPORT_HOLD_CHECK_MS, held_tick, shard);
   kr_info ("part %u: taking over with token %" G_GUINT64_FORMAT, index, token);
   kr_membership_relist (node->membership);
   return shard;
@@ -806,7 +807,7 @@
   GHashTableIter it;
   gpointer value;
   shard->token = token;
-  shard->attempts = 0;
+  shard->attempt_counter = 0;
   g_hash_table_iter_init (&it, shard->machines);
   while (kr_shard_next_machine (shard, &it, &value)) {
     KrMachine *machine = value;
@@ -821,13 +822,13 @@
 kr_shard_close (KrShard *shard)
 {
   kr_info ("part %u: no longer ours", shard->index);
-  shard->gone = TRUE;
-  kr_timer_remove (shard->tick);
-  kr_timer_remove (shard->held_tick);
-  kr_timer_clear (&shard->fence_tick);
-  kr_timer_clear (&shard->preempt_soon);
-  while (shard->held->len)
-    let_go (shard, shard->held->pdata[0]);
+  shard->closed = TRUE;
+  kr_timer_remove (shard->tick_timer);
+  kr_timer_remove (shard->held_timer);
+  kr_timer_clear (&shard->fence_timer);
+  kr_timer_clear (&shard->preempt_timer);
+  while (shard->held_machines->len)
+    let_go (shard, shard->held_machines->pdata[0]);
   g_cancellable_cancel (shard->cancel);
   kr_shard_unref (shard);
 }
