--- a/src/shard.c
+++ b/src/shard.c
@@ -19,7 +19,8 @@
 {
   if (!g_ref_count_dec (&shard->refs))
     return;
-  g_hash_table_unref (shard->jobs); /* before the machines: it lets go of their launches */
+  g_hash_table_unref (shard->jobs); /* Unreferenced before the machines, since freeing the live jobs
+                                       accesses the machines' attempts. */
   g_hash_table_unref (shard->machines);
   g_hash_table_unref (shard->ended_jobs);
   g_ptr_array_unref (shard->live_jobs);
@@ -64,12 +65,12 @@
 }
 
 static double
-seconds_since (gint64 then, gint64 now)
+elapsed_s (gint64 then, gint64 now)
 {
   return (double) (now - then) / G_USEC_PER_SEC;
 }
 
-/* --- what reports show --------------------------------------------------------------- */
+/* --- attempt events ------------------------------------------------------------------ */
 void
 kr_shard_add_attempt (KrShard *shard, KrAttempt *attempt)
 {
@@ -77,7 +78,8 @@
   if (!live_job || attempt->live_job || attempt->state == KR_TASK_EXITED)
     return;
   const KrJob *job = live_job->job;
-  /* Guards against a second copy: a completed, cancelled or elsewhere active task must not run. */
+  /* Kills a duplicate: a task that is completed or active elsewhere, or whose job is cancelled,
+   * must not run. */
   if (job->cancelled || kr_job_is_done (job, attempt->task_index) ||
       (attempt->task_index < job->spec->tasks && job->active[attempt->task_index]))
     attempt->kill = KR_KILL_NOW;
@@ -87,7 +89,7 @@
 static void
 task_failed (KrShard *shard, KrMachine *machine, KrJob *job, double ran_s, gint64 now)
 {
-  guint only_here = 0;
+  guint jobs_failing_only_here = 0;
   GHashTableIter it;
   gpointer id;
 
@@ -96,13 +98,15 @@
   job->failed_at = now;
   job->longest_failed_run_s = MAX (job->longest_failed_run_s, ran_s);
   g_hash_table_add (machine->failed_jobs, g_strdup (job->spec->id));
-  /* A job that fails on several machines is at fault itself: growing pauses keep it from taking
-   * every free slot for ever once it is past its goal. */
+  /* A job that fails on several machines is itself the likely cause. Its backoff grows, so that a
+   * job which is past its goal, and therefore ranks high, does not take every free slot over and
+   * over. */
   if (kr_job_is_suspect (job)) {
-    /* What fails within a pause was started before it: the pause grows once a try. */
+    /* A task that fails during the backoff was started before it: the backoff grows once per retry
+     * only. */
     if (job->probing || now >= job->backoff_until) {
       job->backoff_until = now + kr_seconds_to_us (job->backoff_s);
-      kr_info ("job %s: fails on %u machines, held for %.0f s", job->spec->id,
+      kr_info ("job %s: failed on %u machines, backing off for %.0f s", job->spec->id,
                g_hash_table_size (job->failed_on), job->backoff_s);
       job->backoff_s = MIN (job->backoff_s * 2, KR_JOB_BACKOFF_MAX_S);
     }
@@ -111,29 +115,29 @@
     job->backoff_until = 0;
   g_hash_table_iter_init (&it, machine->failed_jobs);
   while (g_hash_table_iter_next (&it, &id, NULL)) {
-    KrJob *this_job = kr_shard_job (shard, id);
-    if (this_job && g_hash_table_size (this_job->failed_on) == 1)
-      only_here += 1 + (this_job->timed_count > 0);
+    KrJob *other_job = kr_shard_job (shard, id);
+    if (other_job && g_hash_table_size (other_job->failed_on) == 1)
+      jobs_failing_only_here += 1 + (other_job->timed_count > 0);
   }
-  if (only_here >= KR_FAULTY_MACHINE_JOBS && !machine->drain) {
-    kr_info ("machine %s: tasks fail only here, draining it", machine->id);
+  if (jobs_failing_only_here >= KR_FAULTY_MACHINE_JOBS && !machine->drain) {
+    kr_info ("machine %s: several jobs fail only on this machine; draining it", machine->id);
     machine->drain = TRUE;
   }
 }
 
-/* A machine much slower than its peers holds up whatever it gets: it is drained and returned. */
+/* Drains a machine that is much slower than its peers: it delays every task that it gets. */
 static void
-judge_pace (KrMachine *machine, const KrJob *job, double ran_s)
+update_slowdown (KrMachine *machine, const KrJob *job, double ran_s)
 {
   if (job->timed_count < KR_SLOWDOWN_MIN_TASKS)
-    return; /* nothing to compare with yet */
+    return; /* Too few completed tasks to compare with. */
   double ratio = ran_s / MAX (job->timed_sum_s / job->timed_count, 1e-3);
   machine->slowdown = machine->slowdown_samples++
                           ? machine->slowdown + KR_SLOWDOWN_WEIGHT * (ratio - machine->slowdown)
                           : ratio;
   if (machine->slowdown_samples >= KR_SLOWDOWN_MIN_TASKS && machine->slowdown > KR_SLOWDOWN_LIMIT &&
       !machine->drain) {
-    kr_info ("machine %s: tasks take %.1f times as long as elsewhere, draining it", machine->id,
+    kr_info ("machine %s: tasks take %.1f times as long as elsewhere; draining it", machine->id,
              machine->slowdown);
     machine->drain = TRUE;
   }
@@ -143,11 +147,11 @@
 task_done (KrShard *shard, KrMachine *machine, KrJob *job, KrAttempt *attempt, gint64 now)
 {
   if (!kr_job_is_done (job, attempt->task_index)) {
-    if (job->spec->kind != KR_JOB_KIND_SERVICE) /* a service's task starts again */
+    if (job->spec->kind != KR_JOB_KIND_SERVICE) /* A service's task is started again instead. */
       kr_job_set_done (job, attempt->task_index);
     job->progress_dirty = TRUE;
     if (attempt->running_since && !attempt->adopted) {
-      judge_pace (machine, job, kr_attempt_run_time_s (attempt, now));
+      update_slowdown (machine, job, kr_attempt_run_time_s (attempt, now));
       job->timed_sum_s += kr_attempt_run_time_s (attempt, now);
       job->timed_count++;
     }
@@ -165,7 +169,7 @@
   if (attempt->exit_reason == KR_EXIT_DONE)
     task_done (shard, machine, job, attempt, now);
   else if (attempt->exit_reason == KR_EXIT_ERROR) {
-    kr_info ("task %s/%u: error on %s", attempt->job_id, attempt->task_index, machine->id);
+    kr_info ("task %s/%u: failed on %s", attempt->job_id, attempt->task_index, machine->id);
     task_failed (shard, machine, job, kr_attempt_run_time_s (attempt, now), now);
   } else if (attempt->exit_reason == KR_EXIT_REFUSED || attempt->exit_reason == KR_EXIT_UNKNOWN)
     kr_info ("task %s/%u: start refused by %s", attempt->job_id, attempt->task_index, machine->id);
@@ -173,26 +177,27 @@
     kr_shard_flush_progress (shard);
 }
 
-/* Reports arrive, our answers do not: it looks idle and would be given work for ever. */
+/* Backs off from a machine whose reports arrive while the responses to them do not: it looks idle
+ * and would be assigned tasks for ever. */
 static void
-pause_unheard (KrMachine *machine)
+back_off_undelivered (KrMachine *machine)
 {
   guint shift =
       KR_UNDELIVERED_BACKOFF_SHIFT * MIN (machine->undelivered, KR_UNDELIVERED_BACKOFF_STEPS);
   double pause_s = MIN (KR_UNDELIVERED_BACKOFF_MAX_S, KR_UNDELIVERED_BACKOFF_S * (1u << shift));
   machine->no_start_until = kr_now () + kr_seconds_to_us (pause_s);
   machine->undelivered++;
-  kr_info ("machine %s: a launch did not reach it, no further ones for a while", machine->id);
+  kr_info ("machine %s: a run order did not reach it; backing off", machine->id);
 }
 
 void
-kr_shard_on_attempt_event (KrMachine *machine, KrAttempt *attempt, KrAttemptEvent what,
+kr_shard_on_attempt_event (KrMachine *machine, KrAttempt *attempt, KrAttemptEvent event,
                            gpointer data)
 {
   KrShard *shard = data;
   KrJob *job = kr_shard_job (shard, attempt->job_id);
 
-  switch (what) {
+  switch (event) {
   case KR_ATTEMPT_DISCOVERED:
     if (shard->jobs_loaded)
       kr_shard_add_attempt (shard, attempt);
@@ -201,10 +206,10 @@
     machine->undelivered = 0;
     break;
   case KR_ATTEMPT_UNDELIVERED:
-    pause_unheard (machine);
+    back_off_undelivered (machine);
     break;
   case KR_ATTEMPT_STARTED:
-    kr_debug ("task %s/%u: runs on %s", attempt->job_id, attempt->task_index, machine->id);
+    kr_debug ("task %s/%u: running on %s", attempt->job_id, attempt->task_index, machine->id);
     if (job) {
       g_hash_table_add (machine->cached_images, g_strdup (job->spec->image));
       job->progress_dirty = TRUE;
@@ -230,7 +235,7 @@
 
 /* --- orders -------------------------------------------------------------------------- */
 static double
-slack (KrShard *shard, const KrAttempt *attempt)
+grace_s (KrShard *shard, const KrAttempt *attempt)
 {
   const KrJob *job = kr_attempt_job (attempt);
   return attempt->kill == KR_KILL_GRACEFUL && job && job->spec->checkpoint_interval_s > 0
@@ -238,9 +243,10 @@
              : 0;
 }
 
-/* Its kill is wanted and not already at work: a task that saves is left to it. */
+/* Whether a kill is requested and not yet in progress. A task that is saving its checkpoint is left
+ * alone. */
 static gboolean
-to_kill (const KrAttempt *attempt)
+kill_needed (const KrAttempt *attempt)
 {
   return attempt->kill && attempt->state != KR_TASK_EXITED &&
          !(attempt->kill == KR_KILL_GRACEFUL && attempt->state == KR_TASK_SAVING);
@@ -254,41 +260,41 @@
     KrJob *job =
         attempt->live_job ? kr_attempt_job (attempt) : kr_shard_job (shard, attempt->job_id);
     if (attempt->state == KR_TASK_EXITED) {
-      /* Cleared only once the outcome is durable: until then the worker is the only witness. */
+      /* Cleared only once the outcome is durable; until then only the worker knows it. */
       if (attempt->exit_reason != KR_EXIT_DONE || (job && job->spec->kind == KR_JOB_KIND_SERVICE) ||
           (shard->jobs_loaded && !job) || (job && kr_job_is_persisted (job, attempt->task_index)) ||
           (job && job->cancelled))
         kr_wire_order_clear (orders, attempt->job_id, attempt->task_index, attempt->attempt_id);
     } else {
       if (shard->jobs_loaded && !job)
-        attempt->kill = KR_KILL_NOW; /* its job is over */
-      if (to_kill (attempt))
+        attempt->kill = KR_KILL_NOW; /* its job has ended */
+      if (kill_needed (attempt))
         kr_wire_order_kill (orders, attempt->job_id, attempt->task_index, attempt->attempt_id,
-                            slack (shard, attempt));
+                            grace_s (shard, attempt));
     }
   }
 }
 
-/* A direct command or a deletion under way. */
+/* The context of a direct command or deletion in flight. */
 typedef struct {
   KrShard *shard;
   char *id;
-} Contact;
+} MachineCall;
 
-static Contact *
-contact_new (KrShard *shard, KrMachine *machine)
+static MachineCall *
+machine_call_new (KrShard *shard, KrMachine *machine)
 {
-  Contact *contact = g_new (Contact, 1);
-  *contact = (Contact){ kr_shard_ref (shard), g_strdup (machine->id) };
-  return contact;
+  MachineCall *call = g_new (MachineCall, 1);
+  *call = (MachineCall){ kr_shard_ref (shard), g_strdup (machine->id) };
+  return call;
 }
 
 static void
-contact_free (Contact *contact)
+machine_call_free (MachineCall *call)
 {
-  kr_shard_unref (contact->shard);
-  g_free (contact->id);
-  g_free (contact);
+  kr_shard_unref (call->shard);
+  g_free (call->id);
+  g_free (call);
 }
 
 void
@@ -301,11 +307,11 @@
 }
 
 static void
-commanded (guint status, KrReport *report, gpointer data)
+on_command_response (guint status, KrReport *report, gpointer data)
 {
-  Contact *contact = data;
-  KrShard *shard = contact->shard;
-  KrMachine *machine = shard->closed ? NULL : kr_shard_machine (shard, contact->id);
+  MachineCall *call = data;
+  KrShard *shard = call->shard;
+  KrMachine *machine = shard->closed ? NULL : kr_shard_machine (shard, call->id);
 
   if (machine) {
     machine->command_in_flight = FALSE;
@@ -316,7 +322,7 @@
       kr_shard_command_kills (shard, machine);
     machine->command_again = FALSE;
   }
-  contact_free (contact);
+  machine_call_free (call);
 }
 
 void
@@ -324,7 +330,8 @@
 {
   if (!machine->endpoint || !machine->session || kr_now () < machine->next_call_at)
     return;
-  /* One at a time: it carries all kills, and what piles up costs the whole loop its turns. */
+  /* One command at a time: it carries all kills, and more in flight would delay everything else on
+   * the main loop. */
   if (machine->command_in_flight) {
     machine->command_again = TRUE;
     return;
@@ -332,10 +339,11 @@
   json_t *orders = kr_wire_commands_new (shard->token, machine->session);
   for (guint i = 0; i < machine->attempts->len; i++) {
     KrAttempt *attempt = machine->attempts->pdata[i];
-    /* In doubt: a direct kill may overtake the run; it is repeated in the responses. */
-    if (to_kill (attempt))
+    /* A direct kill may overtake the run order of an unconfirmed attempt; it is repeated in the
+     * responses to reports. */
+    if (kill_needed (attempt))
       kr_wire_order_kill (orders, attempt->job_id, attempt->task_index, attempt->attempt_id,
-                          slack (shard, attempt));
+                          grace_s (shard, attempt));
   }
   if (kr_wire_orders_count (orders) == 0) {
     json_decref (orders);
@@ -343,31 +351,31 @@
   }
   machine->command_in_flight = TRUE;
   kr_worker_send_commands (shard->node->worker_client, machine->endpoint, orders, shard->cancel,
-                           commanded, contact_new (shard, machine));
+                           on_command_response, machine_call_new (shard, machine));
 }
 
 /* --- deletion ------------------------------------------------------------------------ */
-/* One line when the cloud begins to refuse deletions, and one when it takes them again. */
+/* Logs one line when the cloud begins to refuse deletions and one when it accepts them again. */
 static void
-note_deletion (KrShard *shard, guint status)
+log_deletion_outcome (KrShard *shard, guint status)
 {
   gboolean refused = status != 200;
   if (shard->closed || refused == shard->deletions_refused)
     return;
   shard->deletions_refused = refused;
   if (refused)
-    kr_info ("part %u: the cloud does not delete machines (%u), asked again until it does",
-             shard->index, status);
+    kr_info ("shard %u: the cloud refuses to delete machines (status %u); retrying", shard->index,
+             status);
   else
-    kr_info ("part %u: the cloud deletes machines again", shard->index);
+    kr_info ("shard %u: the cloud deletes machines again", shard->index);
 }
 
 static void
-deleted (guint status, json_t *body, gpointer data)
+on_delete_response (guint status, json_t *body, gpointer data)
 {
-  Contact *contact = data;
-  KrShard *shard = contact->shard;
-  KrMachine *machine = shard->closed ? NULL : kr_shard_machine (shard, contact->id);
+  MachineCall *call = data;
+  KrShard *shard = call->shard;
+  KrMachine *machine = shard->closed ? NULL : kr_shard_machine (shard, call->id);
 
   if (machine && status == 200) {
     kr_shard_remove_machine (shard, machine, KR_GONE_DELETED);
@@ -375,11 +383,11 @@
     g_hash_table_remove (shard->machines, machine->id);
     kr_shard_write_record (shard);
   } else if (machine) {
-    machine->deleting = FALSE; /* a tick asks again */
+    machine->deleting = FALSE; /* the next tick retries */
     machine->delete_after = kr_now () + kr_seconds_to_us (KR_DELETE_RETRY_S);
   }
-  note_deletion (shard, status);
-  contact_free (contact);
+  log_deletion_outcome (shard, status);
+  machine_call_free (call);
 }
 
 gboolean
@@ -392,11 +400,11 @@
     return FALSE;
   machine->deleting = TRUE;
   if (machine->delete_after)
-    kr_debug ("machine %s: deleting it again, %s", machine->id, why);
+    kr_debug ("machine %s: retrying its deletion: %s", machine->id, why);
   else
-    kr_info ("machine %s: deleting it, %s", machine->id, why);
-  kr_cloud_delete (shard->node->cloud_client, machine->id, shard->cancel, deleted,
-                   contact_new (shard, machine));
+    kr_info ("machine %s: deleting it: %s", machine->id, why);
+  kr_cloud_delete (shard->node->cloud_client, machine->id, shard->cancel, on_delete_response,
+                   machine_call_new (shard, machine));
   return TRUE;
 }
 
@@ -417,8 +425,9 @@
     machine->move_to = to == shard->index ? -1 : (gint) to;
 }
 
-/* Guards against a late copy of a report of a machine that is gone: with no other machine
- * reporting, its silence alone proves nothing, and it would stay in the record for ever. */
+/* Guards against a delayed copy of a report from a machine that is gone. While no other machine
+ * reports, its silence alone proves nothing, and the machine would stay in the record for ever.
+ * `lag`: how old a machine list may be, in seconds. */
 static gboolean
 unlisted_and_silent (const KrMachine *machine, gint64 now, double lag)
 {
@@ -456,16 +465,17 @@
         kr_shard_delete_machine (shard, machine, "it has failed");
       else if (listed->state == KR_MACHINE_STARTING && !machine->last_report_at &&
                listed->age_s > boot)
-        kr_shard_delete_machine (shard, machine, "it never came up");
+        kr_shard_delete_machine (shard, machine, "it did not start in time");
     } else if ((machine->listed || (machine->used && !machine->last_report_at) ||
                 unlisted_and_silent (machine, now, lag)) &&
                !machine->missing_since)
-      machine->missing_since = now; /* what is used was up once, and so listed */
+      machine->missing_since = now; /* A machine in use was up before, and therefore listed. */
     else if (!machine->listed && !machine->last_report_at &&
              now - machine->joined_at > kr_seconds_to_us (KR_UNLISTED_MACHINE_S + 4 * lag))
-      kr_shard_delete_machine (shard, machine, "never listed"); /* adopted from a stale list */
-    /* A list may be older than the one before: wait for the worst lag, then have the cloud say so
-     * (200 to a deletion is proof; missing from a list is not). */
+      kr_shard_delete_machine (shard, machine, "never listed"); /* added from a stale list */
+    /* A list may be older than the one before it: the deletion waits for the maximum lag. Then the
+     * cloud is asked to delete the machine, since a 200 to a deletion proves that it is gone and
+     * its absence from a list does not. */
     if (machine->missing_since &&
         now - machine->missing_since > kr_seconds_to_us (2 * lag + KR_MISSING_MARGIN_S))
       kr_shard_delete_machine (shard, machine, "no longer listed");
@@ -473,8 +483,9 @@
 }
 
 /* --- reports ------------------------------------------------------------------------- */
-/* The one place from which a report is answered with 200. Whatever the report told, its worker may
- * count its lease from it, so no lease that we judge may begin before. */
+/* The only place that answers a report with 200. Whatever the report said, the worker may count its
+ * lease from this answer, so the time of the last renewal must never be set to an earlier moment.
+ */
 static void
 renew_lease (KrMachine *machine, KrRequest *request, json_t *orders, gint64 now)
 {
@@ -483,7 +494,7 @@
 }
 
 static void
-answer (KrShard *shard, KrMachine *machine, KrRequest *request, gint64 now)
+answer_report (KrShard *shard, KrMachine *machine, KrRequest *request, gint64 now)
 {
   json_t *orders = kr_wire_orders_new (shard->token);
   kr_shard_drop_planned (shard, machine);
@@ -494,9 +505,9 @@
   renew_lease (machine, request, orders, now);
 }
 
-/* Not ours to answer any more, or asked anew. */
+/* Refuses the held report of a machine that left this shard or has sent a newer report. */
 static void
-let_go (KrShard *shard, KrMachine *machine)
+refuse_held_report (KrShard *shard, KrMachine *machine)
 {
   if (!machine->pending_request)
     return;
@@ -512,31 +523,32 @@
     KrMachine *machine = shard->held_machines->pdata[i];
     gboolean late =
         now - machine->pending_since >= KR_FIRST_REPORT_HOLD_MS * G_GINT64_CONSTANT (1000);
-    /* Guards against a lease renewed by an owner that has not read which jobs are cancelled: with
-     * the state service out for long, their tasks would run on, and nobody would know. */
+    /* Guards against an owner that renews the lease before it has read which jobs are cancelled:
+     * while the state service is unreachable for long, their tasks would run on without anyone
+     * noticing. */
     if (!shard->jobs_loaded) {
       if (late)
-        let_go (shard, machine);
+        refuse_held_report (shard, machine);
       continue;
     }
     if (!machine->used && !late)
       continue;
-    /* Guards against a machine that stays idle with a former owner, which the state service does
-     * not reach: its successor, which does not know that the machine is up, has work for it. */
+    /* Guards against a machine that stays idle with a former owner which cannot reach the state
+     * service: the new owner has work for the machine but does not know that it is up. */
     if (!machine->used &&
         kr_state_seconds_since_answer (shard->node->state_client) > KR_STATE_UNREACHABLE_S) {
-      let_go (shard, machine);
+      refuse_held_report (shard, machine);
       continue;
     }
     g_ptr_array_remove_index_fast (shard->held_machines, i);
-    answer (shard, machine, g_steal_pointer (&machine->pending_request), now);
+    answer_report (shard, machine, g_steal_pointer (&machine->pending_request), now);
   }
 }
 
 void
 kr_shard_remove_machine (KrShard *shard, KrMachine *machine, KrGoneReason gone)
 {
-  let_go (shard, machine);
+  refuse_held_report (shard, machine);
   kr_machine_remove_attempts (machine, gone, kr_shard_on_attempt_event, shard);
 }
 
@@ -546,17 +558,19 @@
   KrMachine *machine = kr_shard_machine (shard, report->machine);
   gint64 now = kr_now ();
 
-  /* One that was given up, since it hears nothing: it must not count as answered for ever. */
-  gboolean given_up =
+  /* The takeover has given this machine up because no call reaches it: its reports must not keep
+   * its lease alive for ever. */
+  gboolean abandoned =
       machine && machine->drain && kr_shard_needs_fence (machine) && report->token < shard->token;
-  if (!machine || machine->deleting || given_up) {
+  if (!machine || machine->deleting || abandoned) {
     kr_request_reply (request, machine || !shard->record_loaded ? 503 : 421,
                       kr_wire_redirect (NULL), 0);
     return;
   }
   if (report->token > shard->token) {
-    /* Somebody with a newer token commanded it. If the key is still ours, that one is gone or the
-     * machine came from another part: we need a newer token, and must not order anything now. */
+    /* An owner with a newer token has commanded the machine. If this node still holds the
+     * key, that owner is gone or the machine came from another shard: this node needs a newer token
+     * and must not send orders now. */
     kr_membership_renew_token (shard->node->membership, shard->index);
     const KrHolder *holder = kr_membership_holder (shard->node->membership, shard->index);
     gboolean other = holder->node && !kr_membership_owns (shard->node->membership, shard->index);
@@ -564,28 +578,28 @@
     return;
   }
   shard->last_report_at = now;
-  KrReportFreshness news = kr_machine_apply_report (machine, report, TRUE, shard->token, now,
-                                                    kr_shard_on_attempt_event, shard);
-  shard->overtaken_reports += news == KR_REPORT_OVERTAKEN;
-  if (news == KR_REPORT_OVERTAKEN && shard->jobs_loaded) {
+  KrReportFreshness freshness = kr_machine_apply_report (machine, report, TRUE, shard->token, now,
+                                                         kr_shard_on_attempt_event, shard);
+  shard->overtaken_reports += freshness == KR_REPORT_OVERTAKEN;
+  if (freshness == KR_REPORT_OVERTAKEN && shard->jobs_loaded) {
     renew_lease (machine, request, kr_wire_orders_new (shard->token), now);
     return;
   }
-  if (news != KR_REPORT_FRESH) {
+  if (freshness != KR_REPORT_FRESH) {
     kr_request_reply (request, 503, NULL, 0);
     return;
   }
-  let_go (shard, machine); /* a newer report: the worker has given the one before up */
+  refuse_held_report (shard, machine); /* The worker has given up on the earlier report. */
   machine->lease_renewed_at = now;
   if (kr_machine_count_unfinished (machine))
     machine->idle_since = now;
   if (machine->used && shard->jobs_loaded) {
-    answer (shard, machine, request, now);
+    answer_report (shard, machine, request, now);
     return;
   }
-  /* That it is used must be durable before its first run. The answer waits for that: the next
-   * report, with which it could start otherwise, may be a whole period away. It waits for the jobs
-   * too: see kr_shard_answer_held_reports. */
+  /* The machine's use must be durable before its first run order. The answer is held until then:
+   * the next report, whose answer could otherwise carry the order, may be a whole report interval
+   * away. It is also held until the jobs are read: see kr_shard_answer_held_reports. */
   machine->use_pending = !machine->used;
   machine->pending_request = request;
   machine->pending_since = now;
@@ -594,19 +608,19 @@
 }
 
 /* --- periodic duties ----------------------------------------------------------------- */
-/* Where the CPUs are that are paid for. */
+/* How the CPUs of the shard's machines are used. */
 typedef struct {
   guint up, starting;
-  double running, fetching, doubt;      /* in use */
-  double held, leaving, unusable, open; /* free */
+  double running, pulling, unconfirmed;         /* in use */
+  double reserved, moving, unusable, available; /* free */
 } Status;
 
 static double *
 status_in_use (Status *status, const KrAttempt *attempt)
 {
   if (attempt->state == KR_TASK_UNCONFIRMED)
-    return &status->doubt;
-  return attempt->state == KR_TASK_PULLING ? &status->fetching : &status->running;
+    return &status->unconfirmed;
+  return attempt->state == KR_TASK_PULLING ? &status->pulling : &status->running;
 }
 
 static double *
@@ -615,8 +629,8 @@
   if (!kr_shard_usable (shard, machine, now))
     return &status->unusable;
   if (machine->move_to >= 0)
-    return &status->leaving;
-  return machine->reserved_for ? &status->held : &status->open;
+    return &status->moving;
+  return machine->reserved_for ? &status->reserved : &status->available;
 }
 
 static void
@@ -647,58 +661,61 @@
   Status status = { 0 };
   GHashTableIter it;
   gpointer machine;
-  guint waiting = 0;
+  guint pending = 0;
 
   g_hash_table_iter_init (&it, shard->machines);
   while (kr_shard_next_machine (shard, &it, &machine))
     status_add (&status, shard, machine, now);
   for (guint i = 0; i < shard->live_jobs->len; i++)
-    waiting += kr_job_unstarted (((KrLiveJob *) shard->live_jobs->pdata[i])->job);
+    pending += kr_job_unstarted (((KrLiveJob *) shard->live_jobs->pdata[i])->job);
   kr_debug (
-      "part %u: %u jobs, %u tasks wait; %u machines up, %u starting; CPUs: %.0f running, %.0f "
-      "fetching, %.0f in doubt; free: %.0f held, %.0f leaving, %.0f not usable, %.0f open; "
-      "%u overtaken reports, %u invariants broken",
-      shard->index, shard->live_jobs->len, waiting, status.up, status.starting, status.running,
-      status.fetching, status.doubt, status.held, status.leaving, status.unusable, status.open,
-      shard->overtaken_reports, kr_invariant_violations ());
+      "shard %u: %u jobs, %u tasks pending; %u machines up, %u starting; CPUs: %.0f running, %.0f "
+      "pulling, %.0f unconfirmed; free: %.0f reserved, %.0f moving, %.0f unusable, %.0f available; "
+      "%u overtaken reports, %u invariant violations",
+      shard->index, shard->live_jobs->len, pending, status.up, status.starting, status.running,
+      status.pulling, status.unconfirmed, status.reserved, status.moving, status.unusable,
+      status.available, shard->overtaken_reports, kr_invariant_violations ());
 }
 
-/* What is on a machine whose lease is over is gone; one that stays silent goes as well. */
+/* Removes the attempts on a machine whose lease has expired, and deletes the machine if it stays
+ * silent. */
 static void
-judge_lease (KrShard *shard, KrMachine *machine, gint64 now)
+check_lease (KrShard *shard, KrMachine *machine, gint64 now)
 {
   const KrSettings *settings = shard->node->settings;
-  /* Judged at the last moment at which the part was surely ours: a node cut off from the state
-   * service must not take a machine that its successor has fenced, and now answers, for silent. */
-  gint64 proven = kr_membership_lease_confirmed_at (shard->node->membership);
+  /* Measured against the last moment at which this node certainly owned the shard: a node without
+   * connection to the state service must not consider a machine silent that the new owner has
+   * fenced and now answers. */
+  gint64 confirmed_at = kr_membership_lease_confirmed_at (shard->node->membership);
 
   if (!machine->lease_renewed_at ||
-      !kr_machine_lease_expired (machine, proven, settings->worker_lease_s))
+      !kr_machine_lease_expired (machine, confirmed_at, settings->worker_lease_s))
     return;
   if (kr_machine_count_unfinished (machine))
-    kr_info ("machine %s: silent, its lease is over, %u tasks gone (token %" G_GUINT64_FORMAT
-             ", session %" G_GUINT64_FORMAT ", answered %.3f s ago, ours proven %.3f s ago)",
+    kr_info ("machine %s: lease expired, %u tasks gone (token %" G_GUINT64_FORMAT
+             ", session %" G_GUINT64_FORMAT
+             ", lease renewed %.3f s ago, ownership confirmed %.3f s ago)",
              machine->id, kr_machine_count_unfinished (machine), shard->token, machine->session,
-             seconds_since (machine->lease_renewed_at, now), seconds_since (proven, now));
+             elapsed_s (machine->lease_renewed_at, now), elapsed_s (confirmed_at, now));
   kr_machine_remove_attempts (machine, KR_GONE_LEASE_EXPIRED, kr_shard_on_attempt_event, shard);
   machine->idle_since = now;
   if (now - machine->last_report_at >
           kr_seconds_to_us (settings->worker_lease_s + KR_SILENT_MACHINE_DELETE_S) &&
       (now - shard->last_report_at < kr_seconds_to_us (2 * settings->report_interval_s) ||
        g_hash_table_size (shard->machines) == 1))
-    kr_shard_delete_machine (shard, machine, "silent for long");
+    kr_shard_delete_machine (shard, machine, "it sent no reports for too long");
 }
 
 static void
-watch_machine (KrShard *shard, KrMachine *machine, gint64 now)
+check_machine (KrShard *shard, KrMachine *machine, gint64 now)
 {
   const KrSettings *settings = shard->node->settings;
 
   if (machine->deleting)
     return;
   if (!kr_shard_needs_fence (machine))
-    judge_lease (shard, machine, now);
-  else if (shard->phase == SHARD_OPEN) /* the cloud has refused */
+    check_lease (shard, machine, now);
+  else if (shard->phase == SHARD_OPEN) /* The cloud refused the deletion. */
     kr_shard_delete_machine (shard, machine, KR_DELETED_FROM_RECORD_REASON);
   if (machine->deleting)
     return;
@@ -713,17 +730,18 @@
     if (machine->reclaim_at && job && job->spec->checkpoint_interval_s > 0 && !attempt->kill &&
         machine->reclaim_at - now <
             kr_seconds_to_us (job->spec->checkpoint_save_s + 2 * settings->report_interval_s)) {
-      attempt->kill = KR_KILL_GRACEFUL; /* save while there is time */
+      attempt->kill = KR_KILL_GRACEFUL; /* save a checkpoint while there is time */
       kills = TRUE;
     }
   }
   if (kills && now - machine->last_report_at > kr_seconds_to_us (KR_KILL_REPEAT_S))
     kr_shard_command_kills (shard, machine);
-  /* A cancelled task on a machine that cannot be reached: its lease may still be renewed by a
-   * response of ours on its way, so the machine goes before the users' limit. */
+  /* A cancelled task on an unreachable machine: a response of this node still in transit may renew
+   * the machine's lease, so the machine is deleted before the time limit for cancellations is over.
+   */
   if (cancelled && now - machine->last_report_at >
                        kr_seconds_to_us (settings->cancel_limit_s * KR_CANCEL_DELETE_SHARE)) {
-    kr_shard_delete_machine (shard, machine, "holds a cancelled task and cannot be reached");
+    kr_shard_delete_machine (shard, machine, "it has a cancelled task and cannot be reached");
     return;
   }
   if (machine->drain && machine->attempts->len == 0)
@@ -738,13 +756,13 @@
   KrShard *shard = data;
   const KrSettings *settings = shard->node->settings;
   gint64 now = kr_now ();
-  guint heard = 0;
+  guint answered = 0;
 
   if (shard->record_loaded) {
     g_autoptr (GList) all = g_hash_table_get_values (shard->machines);
     for (GList *l = all; l; l = l->next) {
-      heard += ((KrMachine *) l->data)->lease_renewed_at != 0;
-      watch_machine (shard, l->data, now);
+      answered += ((KrMachine *) l->data)->lease_renewed_at != 0;
+      check_machine (shard, l->data, now);
     }
   }
   if (kr_log_debug_enabled () && shard->jobs_loaded && shard->tick_count++ % KR_STATUS_TICKS == 0)
@@ -756,12 +774,12 @@
   kr_shard_preempt (shard, now);
   kr_shard_flush_progress (shard);
   kr_shard_prune_ended (shard);
-  /* Cut off from the workers, but not from the state service: somebody else may reach them. */
-  if (heard >= 2 &&
+  /* This node reaches the state service but none of the workers: another node may reach them. */
+  if (answered >= 2 &&
       now - shard->last_report_at >
           kr_seconds_to_us (2 * settings->report_interval_s + KR_SHARD_SILENCE_S) &&
       kr_state_seconds_since_answer (shard->node->state_client) < KR_SHARD_SILENCE_S) {
-    kr_info ("part %u: no machine reports here any more, handing it on", shard->index);
+    kr_info ("shard %u: none of its machines reports to this node; releasing it", shard->index);
     shard->last_report_at = now;
     kr_membership_release (shard->node->membership, shard->index, KR_SHARD_SILENCE_HOLD_OFF_MS);
   }
@@ -775,7 +793,7 @@
   return G_SOURCE_CONTINUE;
 }
 
-/* --- taking over and letting go ------------------------------------------------------ */
+/* --- lifecycle ----------------------------------------------------------------------- */
 KrShard *
 kr_shard_new (KrNode *node, guint index, guint64 token)
 {
@@ -796,7 +814,7 @@
   shard->tick_timer = kr_timer_add (KR_TICK_MS, tick, shard);
   kr_takeover_begin (shard);
   shard->held_timer = kr_timer_add (KR_FIRST_REPORT_HOLD_CHECK_MS, held_tick, shard);
-  kr_info ("part %u: taking over with token %" G_GUINT64_FORMAT, index, token);
+  kr_info ("shard %u: taking over with token %" G_GUINT64_FORMAT, index, token);
   kr_membership_relist (node->membership);
   return shard;
 }
@@ -811,7 +829,8 @@
   g_hash_table_iter_init (&it, shard->machines);
   while (kr_shard_next_machine (shard, &it, &value)) {
     KrMachine *machine = value;
-    /* A machine that we fenced stays ours: only this process held the key since. */
+    /* A machine that this node has fenced need not be fenced again: only this process has held the
+     * key since then. */
     if (machine->must_fence && machine->fenced)
       machine->must_fence = FALSE;
     machine->fenced = FALSE;
@@ -821,14 +840,14 @@
 void
 kr_shard_close (KrShard *shard)
 {
-  kr_info ("part %u: no longer ours", shard->index);
+  kr_info ("shard %u: closed", shard->index);
   shard->closed = TRUE;
   kr_timer_remove (shard->tick_timer);
   kr_timer_remove (shard->held_timer);
   kr_timer_clear (&shard->fence_timer);
   kr_timer_clear (&shard->preempt_timer);
   while (shard->held_machines->len)
-    let_go (shard, shard->held_machines->pdata[0]);
+    refuse_held_report (shard, shard->held_machines->pdata[0]);
   g_cancellable_cancel (shard->cancel);
   kr_shard_unref (shard);
 }
