--- a/src/shard-dispatch.c
+++ b/src/shard-dispatch.c
@@ -1,4 +1,5 @@
-/* What starts where in a part: the paper's allocation, gangs, preemption, and the part's needs. */
+/* Decides which tasks start where in a shard: the task allocation of the paper cited in estimate.h,
+ * gang scheduling, preemption, and the demand reported to the leader. */
 #include "shard-private.h"
 #include "clock.h"
 #include "constants.h"
@@ -10,7 +11,7 @@
 
 /* --- scheduling ---------------------------------------------------------------------- */
 static double
-goal_of (KrShard *shard, const KrJob *job)
+finish_goal_at (KrShard *shard, const KrJob *job)
 {
   return job->submitted_at +
          (isnan (job->spec->deadline_s)
@@ -18,9 +19,10 @@
               : job->spec->deadline_s);
 }
 
-/* Seconds that fetching a job's image takes, on a machine or (NULL) on the slowest type. */
+/* Returns the seconds that pulling the job's image takes on `machine`, or on the slowest machine
+ * type if it is NULL. */
 static double
-fetch_s (KrShard *shard, const KrMachine *machine, const KrJob *job)
+image_pull_s (KrShard *shard, const KrMachine *machine, const KrJob *job)
 {
   const KrMachineType *type =
       machine && machine->type ? kr_node_machine_type (shard->node, machine->type) : NULL;
@@ -31,10 +33,11 @@
   return rate > 0 ? job->spec->image_gb / rate : 0;
 }
 
-/* Guards against a sound job held back for two faulty machines: its next try would have to end,
- * maybe minutes later. One that outlives the failures tells sooner. */
+/* Ends the backoff of a job once one of its attempts has run clearly longer than any that failed.
+ * Otherwise a sound job that met two faulty machines would stay held back until its next
+ * attempt ends, maybe minutes later. */
 static void
-judge_try (KrLiveJob *live_job, gint64 now)
+check_recovery (KrLiveJob *live_job, gint64 now)
 {
   KrJob *job = live_job->job;
   for (guint i = 0; kr_job_is_suspect (job) && i < live_job->attempts->len; i++)
@@ -43,30 +46,31 @@
       kr_job_clear_failures (job);
 }
 
-/* Nothing of it has begun for that long. */
+/* Whether no task of the job has started for `seconds` since its submission. */
 static gboolean
-waits_for_first (const KrLiveJob *live_job, double seconds)
+unstarted_for (const KrLiveJob *live_job, double seconds)
 {
   const KrJob *job = live_job->job;
   return live_job->estimate_input.now - job->submitted_at > seconds && job->n_done == 0 &&
          job->n_active == 0;
 }
 
-/* Whether a job has waited long enough to stop others' tasks: at once where its class's wait
- * objective leaves no time. */
+/* Decides whether a job has waited long enough to preempt other tasks, which it may do at once if
+ * its class's start goal leaves no time to wait. */
 static void
-judge_waiting (KrShard *shard, KrLiveJob *live_job, KrPriority lowest, gint64 now)
+update_preemption_state (KrShard *shard, KrLiveJob *live_job, KrPriority lowest, gint64 now)
 {
   const KrJob *job = live_job->job;
   double waited = live_job->estimate_input.now - job->submitted_at;
   double goal = kr_settings_start_goal_s (shard->node->settings, job->spec->job_class);
-  /* Time left for waiting, when a report and a fetch still have to follow. */
-  live_job->preempt_all_after_s = MIN (goal / 2, goal - shard->node->settings->report_interval_s -
-                                                     fetch_s (shard, NULL, job) - KR_SAVE_GRACE_S);
+  /* The time left to wait, given that a report and an image pull must still follow. */
+  live_job->preempt_all_after_s =
+      MIN (goal / 2, goal - shard->node->settings->report_interval_s -
+                         image_pull_s (shard, NULL, job) - KR_SAVE_GRACE_S);
   live_job->may_preempt = job->spec->priority > lowest && !job->cancelled && live_job->team &&
                           now >= job->backoff_until &&
                           waited >= MIN (live_job->preempt_all_after_s, KR_PREEMPT_WAIT_S);
-  live_job->starved = waits_for_first (live_job, KR_STARVATION_S);
+  live_job->starved = unstarted_for (live_job, KR_STARVATION_S);
 }
 
 /* --- live jobs ----------------------------------------------------------------------- */
@@ -89,16 +93,16 @@
 }
 
 void
-kr_live_job_free (gpointer live_job)
+kr_live_job_free (gpointer data)
 {
-  KrLiveJob *c = live_job;
-  while (c->attempts->len)
-    kr_live_job_remove_attempt (c->attempts->pdata[0]);
-  g_ptr_array_unref (c->attempts);
-  g_array_unref (c->elapsed);
-  g_ptr_array_remove_fast (c->shard->live_jobs, c);
-  kr_job_free (c->job);
-  g_free (c);
+  KrLiveJob *live_job = data;
+  while (live_job->attempts->len)
+    kr_live_job_remove_attempt (live_job->attempts->pdata[0]);
+  g_ptr_array_unref (live_job->attempts);
+  g_array_unref (live_job->elapsed);
+  g_ptr_array_remove_fast (live_job->shard->live_jobs, live_job);
+  kr_job_free (live_job->job);
+  g_free (live_job);
 }
 
 void
@@ -142,7 +146,7 @@
 }
 
 static void
-rerank (KrShard *shard, KrLiveJob *live_job, gint64 now, double real)
+update_ranking (KrShard *shard, KrLiveJob *live_job, gint64 now, double wall_s)
 {
   const KrJob *job = live_job->job;
   g_array_set_size (live_job->elapsed, live_job->attempts->len);
@@ -155,22 +159,21 @@
                          .unstarted = kr_job_unstarted (job),
                          .running = live_job->elapsed->len,
                          .elapsed = (const double *) (gpointer) live_job->elapsed->data,
-                         .now = real,
-                         .goal = goal_of (shard, job),
+                         .now = wall_s,
+                         .goal = finish_goal_at (shard, job),
                          .submitted = job->submitted_at,
                          .is_service = job->spec->kind == KR_JOB_KIND_SERVICE,
                          .prior_mean_s = job->spec->run_estimate_s };
   live_job->ranking_key = kr_ranking_key (&live_job->estimate_input, job->spec->id);
 }
 
-/* Ranks all live jobs as of now; what was ranked within KR_RANKING_CACHE_MS and has not changed
- * since stays.
- */
+/* Ranks all live jobs as of `now`. A job that was ranked within KR_RANKING_CACHE_MS and has not
+ * changed since keeps its ranking key. */
 static void
-rank_all (KrShard *shard, gint64 now)
+rank_jobs (KrShard *shard, gint64 now)
 {
   KrPriority lowest = KR_PRIORITY_CRITICAL;
-  double real = kr_wall_clock_s ();
+  double wall_s = kr_wall_clock_s ();
   gboolean all = now - shard->ranked_at >= KR_RANKING_CACHE_MS * 1000;
 
   for (guint i = 0; i < shard->live_jobs->len; i++) {
@@ -178,54 +181,54 @@
     if (all || live_job->estimate_input.running != live_job->attempts->len ||
         live_job->estimate_input.timed_count != live_job->job->timed_count ||
         live_job->estimate_input.unstarted != kr_job_unstarted (live_job->job))
-      rerank (shard, live_job, now, real);
+      update_ranking (shard, live_job, now, wall_s);
     lowest = MIN (lowest, live_job->job->spec->priority);
     live_job->skip = FALSE;
   }
   for (guint i = 0; all && i < shard->live_jobs->len; i++) {
-    judge_try (shard->live_jobs->pdata[i], now);
-    judge_waiting (shard, shard->live_jobs->pdata[i], lowest, now);
+    check_recovery (shard->live_jobs->pdata[i], now);
+    update_preemption_state (shard, shard->live_jobs->pdata[i], lowest, now);
   }
   if (all)
     shard->ranked_at = now;
 }
 
 static gboolean
-free_room (KrShard *shard, const KrMachine *machine, KrResources *room)
+free_capacity (KrShard *shard, const KrMachine *machine, KrResources *capacity)
 {
   const KrMachineType *type =
       machine->type ? kr_node_machine_type (shard->node, machine->type) : NULL;
   if (!type)
     return FALSE;
-  *room = (KrResources){ type->cpus, type->gpus, type->mem_gb };
+  *capacity = (KrResources){ type->cpus, type->gpus, type->mem_gb };
   for (guint i = 0; i < machine->attempts->len; i++) {
     KrAttempt *attempt = machine->attempts->pdata[i];
     if (attempt->state == KR_TASK_EXITED)
       continue;
     if (!attempt->live_job)
-      return FALSE; /* unknown load: nothing more until it is gone */
-    kr_resources_subtract (room, kr_attempt_job (attempt)->spec);
+      return FALSE; /* Load of an unknown job: nothing more starts here until it is gone. */
+    kr_resources_subtract (capacity, kr_attempt_job (attempt)->spec);
   }
   return TRUE;
 }
 
 static gboolean
-spread_ok (const KrMachine *machine, const KrLiveJob *live_job)
+zone_spread_allowed (const KrMachine *machine, const KrLiveJob *live_job)
 {
-  KrZoneSpread w = { 0, 0 };
+  KrZoneSpread spread = { 0, 0 };
   const KrJobSpec *spec = live_job->job->spec;
   if (!spec->one_zone && !spec->spread_zones)
     return TRUE;
   for (guint i = 0; i < live_job->attempts->len; i++) {
     const KrAttempt *attempt = live_job->attempts->pdata[i];
-    w.total++;
-    w.in_zone += g_strcmp0 (attempt->machine->zone, machine->zone) == 0;
+    spread.total++;
+    spread.in_zone += g_strcmp0 (attempt->machine->zone, machine->zone) == 0;
   }
-  return kr_placement_spread_ok (spec, &w);
+  return kr_placement_spread_ok (spec, &spread);
 }
 
 static double
-mean_of (const KrJob *job)
+mean_task_s (const KrJob *job)
 {
   const KrEstimateInput in = { .timed_sum_s = job->timed_sum_s,
                                .timed_count = job->timed_count,
@@ -233,23 +236,23 @@
   return kr_estimate_mean_task_s (&in);
 }
 
-/* Until a machine is empty, if nothing more starts. */
+/* Returns the seconds until the machine is empty if nothing more starts there. */
 static double
-rest_s (KrShard *shard, const KrMachine *machine, gint64 now)
+time_to_drain_s (KrShard *shard, const KrMachine *machine, gint64 now)
 {
-  double rest = 0;
+  double longest_s = 0;
   for (guint i = 0; i < machine->attempts->len; i++) {
     KrAttempt *attempt = machine->attempts->pdata[i];
     if (attempt->state == KR_TASK_EXITED)
       continue;
-    double mean = attempt->live_job ? mean_of (kr_attempt_job (attempt)) : 0;
-    rest = MAX (rest, mean - kr_attempt_run_time_s (attempt, now));
+    double mean = attempt->live_job ? mean_task_s (kr_attempt_job (attempt)) : 0;
+    longest_s = MAX (longest_s, mean - kr_attempt_run_time_s (attempt, now));
   }
-  return rest;
+  return longest_s;
 }
 
 static gboolean
-may_run_here (KrShard *shard, const KrMachine *machine, const KrLiveJob *live_job, gint64 now)
+may_run_on (KrShard *shard, const KrMachine *machine, const KrLiveJob *live_job, gint64 now)
 {
   KrJob *job = live_job->job;
   if (job->cancelled || job->chunks_missing || !live_job->team || now < job->backoff_until ||
@@ -258,20 +261,21 @@
   if (machine->reserved_for && now < machine->reserved_until &&
       !g_str_equal (machine->reserved_for, job->spec->id))
     return FALSE;
-  /* A machine that empties itself takes what will end before it would be empty anyway. */
+  /* A machine marked for a move only takes tasks that are expected to end before it would be empty
+   * anyway. */
   if (machine->move_to >= 0 &&
       (!job->timed_count ||
-       kr_estimate_mean_task_s (&live_job->estimate_input) > rest_s (shard, machine, now)))
+       kr_estimate_mean_task_s (&live_job->estimate_input) > time_to_drain_s (shard, machine, now)))
     return FALSE;
-  /* It failed here and nowhere else: another machine shall tell which of the two is at fault, but
-   * where none has room for it, it must not wait for that for ever. */
+  /* After a failure on one machine only, another machine shall show whether the job or the machine
+   * is at fault. If no other machine has capacity, the job does not wait for that for ever. */
   if (!kr_job_is_suspect (job) &&
       now - job->failed_at < kr_seconds_to_us (KR_FAILED_MACHINE_AVOID_S) &&
       g_hash_table_contains (job->failed_on, machine->id) &&
       g_hash_table_size (shard->machines) > 1)
     return FALSE;
   return kr_placement_allowed (job->spec, machine->type, machine->zone, machine->spot) &&
-         spread_ok (machine, live_job);
+         zone_spread_allowed (machine, live_job);
 }
 
 KrReadiness
@@ -300,7 +304,7 @@
   return kr_shard_readiness (shard, machine, now) == KR_MACHINE_READY;
 }
 
-/* Every start of a task goes by here, whatever chose it. */
+/* Every start of a task must pass this check, whichever path selected the task. */
 static gboolean
 may_start (KrShard *shard, const KrMachine *machine, const KrJob *job, gint64 task, gint64 now)
 {
@@ -326,9 +330,9 @@
   return TRUE;
 }
 
-/* The job's next task; NULL: it must not start. */
+/* Adds an attempt of the job's next task. Returns NULL if the task must not start. */
 static KrAttempt *
-start_launch (KrShard *shard, KrMachine *machine, KrLiveJob *live_job, gint64 now)
+start_attempt (KrShard *shard, KrMachine *machine, KrLiveJob *live_job, gint64 now)
 {
   KrJob *job = live_job->job;
   gint64 task = kr_job_next_task (job);
@@ -338,34 +342,39 @@
       kr_machine_add_attempt (machine, job->spec->id, (guint) task,
                               (shard->token << KR_ATTEMPT_COUNTER_BITS) + ++shard->attempt_counter);
   kr_live_job_add_attempt (live_job, attempt);
-  /* A job that fails wherever it runs is tried with one task a pause, until one succeeds. */
+  /* A job that fails on several machines is retried with one task per backoff period until a task
+   * succeeds. */
   if (kr_job_is_suspect (job)) {
     job->probing = TRUE;
     job->backoff_until = now + kr_seconds_to_us (job->backoff_s);
   }
   attempt->preempt_protected = live_job->starved;
   live_job->starved = FALSE;
-  rerank (shard, live_job, now, live_job->estimate_input.now);
+  update_ranking (shard, live_job, now, live_job->estimate_input.now);
   return attempt;
 }
 
-/* A task at each place; `run` goes out with the machines' next reports. */
+/* Adds one planned attempt per place; the `run` orders are sent in the responses to the machines'
+ * next reports. */
 static void
 start_gang (KrShard *shard, KrLiveJob *live_job, const GPtrArray *places, gint64 now)
 {
-  guint64 attempt_id = 0; /* one for all: its tasks gather by it (docs/questions.md) */
-  kr_info ("job %s: a gang of %u gets its places", live_job->job->spec->id, places->len);
+  /* The same id for the whole gang: its tasks find each other by it (docs/questions.md). */
+  guint64 attempt_id = 0;
+  kr_info ("job %s: reserved places for its gang of %u tasks", live_job->job->spec->id,
+           places->len);
   for (guint i = 0; i < places->len; i++) {
-    KrAttempt *attempt = start_launch (shard, places->pdata[i], live_job, now);
-    if (!attempt) /* its tasks are stopped, as of a gang that has lost some */
+    KrAttempt *attempt = start_attempt (shard, places->pdata[i], live_job, now);
+    if (!attempt) /* The tasks added so far are killed, as in a gang that has lost tasks. */
       return;
     attempt->planned = TRUE;
     attempt_id = attempt->attempt_id = attempt_id ? attempt_id : attempt->attempt_id;
   }
 }
 
-/* A gang is granted only whole: places are held on as many machines as it takes, and each machine's
- * next report brings its tasks there. A gang with some tasks lost is stopped and starts again. */
+/* Starts a gang only as a whole: reserves places on as many machines as needed, and each machine's
+ * next report is answered with its `run` orders. A gang that has lost some of its tasks is killed
+ * and starts again. */
 static void
 plan_gang (KrShard *shard, KrLiveJob *live_job, gint64 now)
 {
@@ -388,21 +397,21 @@
   g_hash_table_iter_init (&it, shard->machines);
   while (places->len < want && kr_shard_next_machine (shard, &it, &value)) {
     KrMachine *machine = value;
-    KrResources room;
-    if (!kr_shard_usable (shard, machine, now) || !may_run_here (shard, machine, live_job, now) ||
-        !free_room (shard, machine, &room))
+    KrResources capacity;
+    if (!kr_shard_usable (shard, machine, now) || !may_run_on (shard, machine, live_job, now) ||
+        !free_capacity (shard, machine, &capacity))
       continue;
     KrMachine *first = places->len ? places->pdata[0] : machine;
     if (job->spec->one_zone && g_strcmp0 (first->zone, machine->zone) != 0)
       continue;
-    guint here = 0;
+    guint in_zone = 0;
     for (guint i = 0; i < places->len; i++)
-      here += g_strcmp0 (((KrMachine *) places->pdata[i])->zone, machine->zone) == 0;
-    while (places->len < want && kr_resources_fit (&room, job->spec) &&
-           (!job->spec->spread_zones || here + 1 <= (job->spec->tasks + 1) / 2)) {
-      kr_resources_subtract (&room, job->spec);
+      in_zone += g_strcmp0 (((KrMachine *) places->pdata[i])->zone, machine->zone) == 0;
+    while (places->len < want && kr_resources_fit (&capacity, job->spec) &&
+           (!job->spec->spread_zones || in_zone + 1 <= (job->spec->tasks + 1) / 2)) {
+      kr_resources_subtract (&capacity, job->spec);
       g_ptr_array_add (places, machine);
-      here++;
+      in_zone++;
     }
   }
   if (places->len < want)
@@ -423,12 +432,13 @@
   }
 }
 
-/* Exceptions to the paper's order, within each of which it holds: a job of which nothing has begun
- * for long gets its first task, since late jobs, of which a stream never ends, go before all
- * others, and of several such the oldest, since they may be a stream as well; then who may stop
- * others' tasks, since what is started instead would be stopped at once. */
+/* Compares two jobs that could get free capacity; negative: `a` goes first. Exceptions to the
+ * paper's order, which holds among the jobs of each exception: (1) a starved job gets its first
+ * task, since late jobs go first otherwise and there may be an endless stream of them; among
+ * several starved jobs the oldest goes first, since these may be a stream as well. (2) A job that
+ * may preempt others' tasks, since a task started in its place would be preempted at once. */
 static int
-before (const KrLiveJob *a, const KrLiveJob *b)
+compare_for_assignment (const KrLiveJob *a, const KrLiveJob *b)
 {
   if (a->starved != b->starved)
     return a->starved ? -1 : 1;
@@ -441,18 +451,19 @@
   return kr_ranking_compare (&a->ranking_key, &b->ranking_key);
 }
 
-/* The first in rank that fits the room left. */
+/* Returns the best-ranked job of which a task fits the remaining capacity, or NULL. */
 static KrLiveJob *
-first_that_fits (KrShard *shard, const KrMachine *machine, const KrResources *room, gint64 now)
+best_fitting_job (KrShard *shard, const KrMachine *machine, const KrResources *capacity, gint64 now)
 {
   KrLiveJob *best = NULL;
   for (guint i = 0; i < shard->live_jobs->len; i++) {
     KrLiveJob *live_job = shard->live_jobs->pdata[i];
-    if (live_job->skip || (best && before (best, live_job) < 0))
+    if (live_job->skip || (best && compare_for_assignment (best, live_job) < 0))
       continue;
-    /* Room and limits only shrink within a round: what fails once is out for good. */
-    if (!kr_resources_fit (room, live_job->job->spec) ||
-        !may_run_here (shard, machine, live_job, now) ||
+    /* Capacity and quotas only shrink within a round: a job that does not fit once is out until the
+     * round ends. */
+    if (!kr_resources_fit (capacity, live_job->job->spec) ||
+        !may_run_on (shard, machine, live_job, now) ||
         !kr_placement_task_within_quota (live_job->team, live_job->used, live_job->job->spec)) {
       live_job->skip = TRUE;
       continue;
@@ -462,10 +473,10 @@
   return best;
 }
 
-/* Once the job for which room was held here has all its tasks, the rest is for the others. FALSE:
- * it has not. */
+/* Releases the machine's reservation once the job for which it was made has no unstarted tasks, and
+ * lets the other jobs in again. Returns FALSE if there is no such reservation. */
 static gboolean
-end_reservation (KrShard *shard, KrMachine *machine)
+release_reservation (KrShard *shard, KrMachine *machine)
 {
   KrJob *holder = machine->reserved_for ? kr_shard_job (shard, machine->reserved_for) : NULL;
   if (!holder || kr_job_unstarted (holder))
@@ -477,10 +488,10 @@
 }
 
 static void
-grant_task (KrShard *shard, KrMachine *machine, KrLiveJob *live_job, json_t *orders, gint64 now)
+assign_task (KrShard *shard, KrMachine *machine, KrLiveJob *live_job, json_t *orders, gint64 now)
 {
   const KrJobSpec *spec = live_job->job->spec;
-  KrAttempt *attempt = start_launch (shard, machine, live_job, now);
+  KrAttempt *attempt = start_attempt (shard, machine, live_job, now);
   if (!attempt) {
     live_job->skip = TRUE;
     return;
@@ -488,36 +499,37 @@
   attempt->sent_after_seq = machine->seq;
   machine->idle_since = now;
   kr_wire_order_run (orders, spec->id, attempt->task_index, attempt->attempt_id);
-  kr_debug ("task %s/%u: to %s", spec->id, attempt->task_index, machine->id);
+  kr_debug ("task %s/%u: assigned to %s", spec->id, attempt->task_index, machine->id);
 }
 
-/* The paper's allocation, max variant, triggered by a machine's report: its free room goes out one
- * task at a time, to the first in rank that fits, and all are ranked anew after each grant. */
+/* The paper's allocation (max variant), triggered by a machine's report: assigns the machine's free
+ * capacity one task at a time to the best-ranked job that fits, and ranks the jobs again after each
+ * task. */
 void
 kr_shard_assign_tasks (KrShard *shard, KrMachine *machine, json_t *orders, gint64 now)
 {
-  KrResources room;
-  if (!kr_shard_usable (shard, machine, now) || !free_room (shard, machine, &room))
+  KrResources capacity;
+  if (!kr_shard_usable (shard, machine, now) || !free_capacity (shard, machine, &capacity))
     return;
   KrJob *waiting = machine->reserved_for ? kr_shard_job (shard, machine->reserved_for) : NULL;
   if (machine->reserved_for && (!waiting || !kr_job_unstarted (waiting)))
     g_clear_pointer (&machine->reserved_for, g_free);
-  rank_all (shard, now);
+  rank_jobs (shard, now);
 
   for (;;) {
-    KrLiveJob *best = first_that_fits (shard, machine, &room, now);
-    if (!best && !end_reservation (shard, machine))
+    KrLiveJob *best = best_fitting_job (shard, machine, &capacity, now);
+    if (!best && !release_reservation (shard, machine))
       return;
     if (!best)
       continue;
     if (best->job->spec->kind == KR_JOB_KIND_GANG) {
       plan_gang (shard, best, now);
       best->skip = TRUE;
-      if (!free_room (shard, machine, &room))
+      if (!free_capacity (shard, machine, &capacity))
         return;
     } else {
-      grant_task (shard, machine, best, orders, now);
-      kr_resources_subtract (&room, best->job->spec);
+      assign_task (shard, machine, best, orders, now);
+      kr_resources_subtract (&capacity, best->job->spec);
     }
   }
 }
@@ -529,74 +541,76 @@
   return g_hash_table_contains (machine->cached_images, job->spec->image);
 }
 
-/* What stopping a task loses, in seconds of its run. */
+/* Returns the seconds of run time lost by preempting the attempt. */
 static double
-loss_of (const KrAttempt *attempt, const KrJob *job, gint64 now)
+preemption_loss_s (const KrAttempt *attempt, const KrJob *job, gint64 now)
 {
   double ran = kr_attempt_run_time_s (attempt, now);
   return job->spec->checkpoint_interval_s > 0 ? MIN (ran, job->spec->checkpoint_save_s) : ran;
 }
 
-/* The task on `b` that may be stopped for `c` and loses least; tasks in `out` are spoken for. */
+/* Returns the attempt on the machine that may be preempted for `live_job` with the least loss,
+ * stored in `loss`, leaving out those in `chosen`. Returns NULL if there is none. */
 static KrAttempt *
-victim (KrShard *shard, KrMachine *machine, KrLiveJob *live_job, GPtrArray *out, gint64 now,
-        double *loss)
+cheapest_victim (KrShard *shard, KrMachine *machine, KrLiveJob *live_job, GPtrArray *chosen,
+                 gint64 now, double *loss)
 {
-  /* A guarantee may stop work of any Rank, but that of higher Rank only when the wait is over:
-   * otherwise the two stop each other in turn. */
-  gboolean upward =
+  /* A team's guarantee allows it to preempt tasks of any priority, but those of a higher priority
+   * only once the start goal is missed: otherwise the two jobs would preempt each other in turn. */
+  gboolean may_preempt_higher =
       live_job->estimate_input.now - live_job->job->submitted_at >
       kr_settings_start_goal_s (shard->node->settings, live_job->job->spec->job_class);
   KrAttempt *best = NULL;
   for (guint i = 0; i < machine->attempts->len; i++) {
     KrAttempt *attempt = machine->attempts->pdata[i];
-    const KrLiveJob *of = attempt->live_job;
-    const KrJob *job = of ? of->job : NULL;
-    if (!job || !of->team ||
+    const KrLiveJob *victim = attempt->live_job;
+    const KrJob *job = victim ? victim->job : NULL;
+    if (!job || !victim->team ||
         (attempt->preempt_protected &&
          kr_attempt_run_time_s (attempt, now) < KR_FIRST_TASK_PROTECT_S) ||
         attempt->state == KR_TASK_EXITED || attempt->state == KR_TASK_UNCONFIRMED ||
-        (job->spec->priority > live_job->job->spec->priority && !upward) ||
-        g_ptr_array_find (out, attempt, NULL) ||
+        (job->spec->priority > live_job->job->spec->priority && !may_preempt_higher) ||
+        g_ptr_array_find (chosen, attempt, NULL) ||
         !kr_placement_may_preempt (live_job->job->spec, live_job->team, live_job->used, job->spec,
-                                   of->team, of->used))
+                                   victim->team, victim->used))
       continue;
-    double x =
-        attempt->kill ? 0 : loss_of (attempt, job, now); /* those stopping already come first */
-    if (!best || x < *loss) {
+    /* Attempts that are already being killed come first. */
+    double attempt_loss = attempt->kill ? 0 : preemption_loss_s (attempt, job, now);
+    if (!best || attempt_loss < *loss) {
       best = attempt;
-      *loss = x;
+      *loss = attempt_loss;
     }
   }
   return best;
 }
 
-/* Whom to stop on `b` so that one task of `c` fits; NULL if that is not enough. */
+/* Returns the attempts to preempt on the machine so that one task of `live_job` fits, or NULL if
+ * that is not possible. `total`: the run time lost, in seconds. */
 static GPtrArray *
-victims (KrShard *shard, KrMachine *machine, KrLiveJob *live_job, gint64 now, double *total)
+choose_victims (KrShard *shard, KrMachine *machine, KrLiveJob *live_job, gint64 now, double *total)
 {
-  g_autoptr (GPtrArray) out = g_ptr_array_new ();
-  KrResources room;
+  g_autoptr (GPtrArray) chosen = g_ptr_array_new ();
+  KrResources capacity;
   *total = 0;
-  if (!free_room (shard, machine, &room))
+  if (!free_capacity (shard, machine, &capacity))
     return NULL;
-  while (!kr_resources_fit (&room, live_job->job->spec)) {
+  while (!kr_resources_fit (&capacity, live_job->job->spec)) {
     double loss = 0;
-    KrAttempt *attempt = victim (shard, machine, live_job, out, now, &loss);
+    KrAttempt *attempt = cheapest_victim (shard, machine, live_job, chosen, now, &loss);
     if (!attempt)
       return NULL;
-    g_ptr_array_add (out, attempt);
+    g_ptr_array_add (chosen, attempt);
     *total += loss;
-    kr_resources_add (&room, kr_attempt_job (attempt)->spec);
+    kr_resources_add (&capacity, kr_attempt_job (attempt)->spec);
   }
-  return g_steal_pointer (&out);
+  return g_steal_pointer (&chosen);
 }
 
-/* Holds a machine for a waiting job, and stops there what has run no longer than `most` seconds:
- * the rest may end by itself first. */
+/* Reserves the machine for a waiting job and preempts those attempts of `victims` that lose at most
+ * `max_loss_s`: the others may end by themselves first. */
 static void
-hold (KrShard *shard, KrMachine *machine, KrLiveJob *live_job, GPtrArray *stop, double most,
-      gint64 now)
+reserve_machine (KrShard *shard, KrMachine *machine, KrLiveJob *live_job, GPtrArray *victims,
+                 double max_loss_s, gint64 now)
 {
   gboolean any = FALSE;
   if (g_strcmp0 (machine->reserved_for, live_job->job->spec->id) != 0) {
@@ -604,30 +618,31 @@
     machine->reserved_for = g_strdup (live_job->job->spec->id);
   }
   machine->reserved_until = now + kr_seconds_to_us (KR_PREEMPT_RESERVE_S);
-  for (guint i = 0; i < stop->len; i++) {
-    KrAttempt *attempt = stop->pdata[i];
-    if (attempt->kill || loss_of (attempt, kr_attempt_job (attempt), now) > most)
+  for (guint i = 0; i < victims->len; i++) {
+    KrAttempt *attempt = victims->pdata[i];
+    if (attempt->kill || preemption_loss_s (attempt, kr_attempt_job (attempt), now) > max_loss_s)
       continue;
     attempt->kill = KR_KILL_GRACEFUL;
     any = TRUE;
-    kr_info ("task %s/%u: stopped on %s for %s", attempt->job_id, attempt->task_index, machine->id,
-             live_job->job->spec->id);
+    kr_info ("task %s/%u: preempted on %s for job %s", attempt->job_id, attempt->task_index,
+             machine->id, live_job->job->spec->id);
   }
   if (any)
     kr_shard_command_kills (shard, machine);
 }
 
 static guint
-places_on (KrShard *shard, const KrMachine *machine, const KrLiveJob *live_job)
+slots_on_machine (KrShard *shard, const KrMachine *machine, const KrLiveJob *live_job)
 {
   const KrMachineType *type =
       machine->type ? kr_node_machine_type (shard->node, machine->type) : NULL;
   return type ? MAX (1, (guint) (1 / kr_placement_machine_share (live_job->job->spec, type))) : 0;
 }
 
-/* Tasks of `c` that the machines held for it have room for, once what may be stopped there has. */
+/* Renews the reservations for `live_job`. Returns the number of its tasks that the reserved
+ * machines can take once the preempted attempts are gone. */
 static guint
-held_places (KrShard *shard, KrLiveJob *live_job, double most, gint64 now)
+reserved_slots (KrShard *shard, KrLiveJob *live_job, double max_loss_s, gint64 now)
 {
   GHashTableIter it;
   gpointer value;
@@ -639,42 +654,44 @@
     if (g_strcmp0 (machine->reserved_for, live_job->job->spec->id) != 0 ||
         now >= machine->reserved_until || !kr_shard_usable (shard, machine, now))
       continue;
-    g_autoptr (GPtrArray) stop = victims (shard, machine, live_job, now, &total);
-    if (!stop)
-      continue; /* no longer of use: runs out */
-    hold (shard, machine, live_job, stop, most, now);
-    n += places_on (shard, machine, live_job);
+    g_autoptr (GPtrArray) victims = choose_victims (shard, machine, live_job, now, &total);
+    if (!victims)
+      continue; /* No longer useful: the reservation expires. */
+    reserve_machine (shard, machine, live_job, victims, max_loss_s, now);
+    n += slots_on_machine (shard, machine, live_job);
   }
   return n;
 }
 
-/* A machine that could be held, whom to stop there, and what that loses. */
+/* A machine that could be reserved, the attempts to preempt there, and the run time lost by that in
+ * seconds. */
 typedef struct {
   KrMachine *machine;
-  GPtrArray *stop;
+  GPtrArray *victims;
   double total;
-} Holdable;
+} Candidate;
 
 static void
-holdable_free (gpointer p)
+candidate_free (gpointer p)
 {
-  Holdable *h = p;
-  g_ptr_array_unref (h->stop);
-  g_free (h);
+  Candidate *candidate = p;
+  g_ptr_array_unref (candidate->victims);
+  g_free (candidate);
 }
 
 static int
-least_loss (gconstpointer a, gconstpointer b)
+compare_loss (gconstpointer a, gconstpointer b)
 {
-  const Holdable *x = *(Holdable *const *) a, *y = *(Holdable *const *) b;
+  const Candidate *x = *(Candidate *const *) a, *y = *(Candidate *const *) b;
   return x->total < y->total ? -1 : x->total > y->total;
 }
 
-/* The machines not held yet, those first where making room for one task of `c` loses least. */
+/* Returns the machines without a reservation, ordered by the loss of making room for one task of
+ * `live_job`. */
 static GPtrArray *
-holdable (KrShard *shard, KrLiveJob *live_job, gint64 now)
+reservation_candidates (KrShard *shard, KrLiveJob *live_job, gint64 now)
 {
-  GPtrArray *all = g_ptr_array_new_with_free_func (holdable_free);
+  GPtrArray *all = g_ptr_array_new_with_free_func (candidate_free);
   GHashTableIter it;
   gpointer value;
   g_hash_table_iter_init (&it, shard->machines);
@@ -682,69 +699,69 @@
     KrMachine *machine = value;
     double total;
     if ((machine->reserved_for && now < machine->reserved_until) || machine->move_to >= 0 ||
-        !kr_shard_usable (shard, machine, now) || !may_run_here (shard, machine, live_job, now))
+        !kr_shard_usable (shard, machine, now) || !may_run_on (shard, machine, live_job, now))
       continue;
-    GPtrArray *stop = victims (shard, machine, live_job, now, &total);
-    if (!stop)
+    GPtrArray *victims = choose_victims (shard, machine, live_job, now, &total);
+    if (!victims)
       continue;
     if (!has_image (machine, live_job->job))
-      total += fetch_s (shard, machine, live_job->job); /* as good as run time lost */
-    Holdable *h = g_new (Holdable, 1);
-    *h = (Holdable){ machine, stop, total };
-    g_ptr_array_add (all, h);
+      total += image_pull_s (shard, machine, live_job->job); /* counts like lost run time */
+    Candidate *candidate = g_new (Candidate, 1);
+    *candidate = (Candidate){ machine, victims, total };
+    g_ptr_array_add (all, candidate);
   }
-  g_ptr_array_sort (all, least_loss);
+  g_ptr_array_sort (all, compare_loss);
   return all;
 }
 
 static int
-rank_first (gconstpointer a, gconstpointer b)
+compare_for_preemption (gconstpointer a, gconstpointer b)
 {
-  const KrLiveJob *live_job = *(KrLiveJob *const *) a, *y = *(KrLiveJob *const *) b;
-  if (live_job->job->spec->priority != y->job->spec->priority)
-    return live_job->job->spec->priority > y->job->spec->priority ? -1 : 1;
-  return kr_ranking_compare (&live_job->ranking_key, &y->ranking_key);
+  const KrLiveJob *x = *(KrLiveJob *const *) a, *y = *(KrLiveJob *const *) b;
+  if (x->job->spec->priority != y->job->spec->priority)
+    return x->job->spec->priority > y->job->spec->priority ? -1 : 1;
+  return kr_ranking_compare (&x->ranking_key, &y->ranking_key);
 }
 
-/* Permitted preemption: a job that waits holds machines on which lower work may be stopped. What
- * has run for less than the job has waited is stopped at once, the rest when half of the time in
- * which it should have started is over. */
+/* Permitted preemption: a waiting job reserves machines on which it may preempt tasks. Attempts
+ * that lose no more run time than the job has waited are preempted at once, the others after
+ * `preempt_all_after_s`, which is at most half of its start goal. */
 void
 kr_shard_preempt (KrShard *shard, gint64 now)
 {
   if (shard->phase != SHARD_OPEN || !shard->node->machine_types)
     return;
-  rank_all (shard, now);
+  rank_jobs (shard, now);
   g_autoptr (GPtrArray) order = g_ptr_array_copy (shard->live_jobs, NULL, NULL);
-  g_ptr_array_sort (order, rank_first);
+  g_ptr_array_sort (order, compare_for_preemption);
   for (guint i = 0; i < order->len; i++) {
     KrLiveJob *live_job = order->pdata[i];
     KrJob *job = live_job->job;
     double waited = live_job->estimate_input.now - job->submitted_at;
-    gboolean guarantee = live_job->team && live_job->team->cpus > 0 && !job->cancelled &&
-                         now >= job->backoff_until &&
-                         waited >= MIN (live_job->preempt_all_after_s, KR_PREEMPT_WAIT_S);
-    if (!kr_job_unstarted (job) || (!live_job->may_preempt && !guarantee))
+    gboolean has_guarantee = live_job->team && live_job->team->cpus > 0 && !job->cancelled &&
+                             now >= job->backoff_until &&
+                             waited >= MIN (live_job->preempt_all_after_s, KR_PREEMPT_WAIT_S);
+    if (!kr_job_unstarted (job) || (!live_job->may_preempt && !has_guarantee))
       continue;
-    double most = waited > live_job->preempt_all_after_s ? G_MAXDOUBLE : waited;
+    double max_loss_s = waited > live_job->preempt_all_after_s ? G_MAXDOUBLE : waited;
     KrResources used = *live_job->used;
-    guint want = 0, held = held_places (shard, live_job, most, now);
+    guint want = 0, reserved = reserved_slots (shard, live_job, max_loss_s, now);
     for (; want < kr_job_unstarted (job) &&
            kr_placement_task_within_quota (live_job->team, &used, job->spec);
          want++)
       kr_resources_add (&used, job->spec);
-    if (held >= want)
+    if (reserved >= want)
       continue;
-    g_autoptr (GPtrArray) more = holdable (shard, live_job, now);
-    for (guint k = 0; k < more->len && held < want; k++) {
-      const Holdable *h = more->pdata[k];
-      hold (shard, h->machine, live_job, h->stop, most, now);
-      held += places_on (shard, h->machine, live_job);
+    g_autoptr (GPtrArray) candidates = reservation_candidates (shard, live_job, now);
+    for (guint k = 0; k < candidates->len && reserved < want; k++) {
+      const Candidate *candidate = candidates->pdata[k];
+      reserve_machine (shard, candidate->machine, live_job, candidate->victims, max_loss_s, now);
+      reserved += slots_on_machine (shard, candidate->machine, live_job);
     }
   }
 }
 
-/* Places held for tasks that shall not start any more. */
+/* Removes planned attempts that are not to start any more. */
 void
 kr_shard_drop_planned (KrShard *shard, KrMachine *machine)
 {
@@ -760,18 +777,20 @@
 }
 
 /* --- for the leader ------------------------------------------------------------------ */
-/* Silent for so long that it is probably lost: others are rented in its place. */
+/* Whether the machine has been silent for so long that it is probably lost: it does not count as
+ * supply, so that another is rented. */
 static gboolean
-silent (KrShard *shard, const KrMachine *machine, gint64 now)
+is_silent (KrShard *shard, const KrMachine *machine, gint64 now)
 {
   return machine->last_report_at &&
          now - machine->last_report_at >
              kr_seconds_to_us (KR_SILENT_REPORT_PERIODS * shard->node->settings->report_interval_s);
 }
 
-/* Of `want` tasks, as many as the limits of the job's team let run beside `used`, which grows. */
+/* Returns how many of `want` tasks the quota of the job's team allows in addition to `used`, and
+ * adds them to `used`. */
 static double
-within_limits (const KrLiveJob *live_job, double want, KrResources *used)
+cap_to_quota (const KrLiveJob *live_job, double want, KrResources *used)
 {
   const KrJobSpec *spec = live_job->job->spec;
   if (live_job->team->cpus_max > 0 && spec->cpus > 0)
@@ -783,24 +802,25 @@
   return want;
 }
 
-/* Tasks that may start as far as failures go. */
+/* Returns the number of unstarted tasks that the job's backoff allows to start. */
 static double
-startable (const KrJob *job, gint64 now)
+startable_tasks (const KrJob *job, gint64 now)
 {
   if (job->cancelled || now < job->backoff_until)
     return 0;
   return kr_job_is_suspect (job) ? MIN (kr_job_unstarted (job), 1) : kr_job_unstarted (job);
 }
 
-/* Slots that the job wants started for its goal (the min variant). */
+/* Returns the number of slots that the job needs to meet its goal (the paper's min variant). */
 static double
-slots_wanted (const KrLiveJob *live_job)
+slots_for_goal (const KrLiveJob *live_job)
 {
-  /* Toward a moment before the goal: fetches, reports and moves take time that the paper's
-   * estimate does not count, and a job given just what it needs ends just too late. */
-  KrEstimateInput sooner = live_job->estimate_input;
-  sooner.goal = sooner.submitted + KR_RENT_GOAL_SHARE * (sooner.goal - sooner.submitted);
-  return kr_ranking_wanted_slots (&sooner);
+  /* Aims at a moment before the goal: image pulls, reports and moves take time that the paper's
+   * estimate does not include, and a job given exactly the slots it needs would end just too late.
+   */
+  KrEstimateInput input = live_job->estimate_input;
+  input.goal = input.submitted + KR_RENT_GOAL_SHARE * (input.goal - input.submitted);
+  return kr_ranking_wanted_slots (&input);
 }
 
 static json_t *
@@ -814,10 +834,10 @@
   return types;
 }
 
-/* The live jobs' needs: `First` before all others', `Slots` to meet their goals, `Most` if there is
- * room for all. */
+/* Returns the live jobs' demand: `First` slots go before all others', `Slots` are needed to meet
+ * the goals, `Most` are useful if there is capacity for all. */
 static json_t *
-needs_json (KrShard *shard, gint64 now, gboolean *waiting)
+demands_json (KrShard *shard, gint64 now, gboolean *has_pending)
 {
   gsize size = shard->node->settings->teams->len * sizeof (KrResources);
   g_autofree KrResources *used = g_memdup2 (shard->team_usage, size),
@@ -829,14 +849,14 @@
     const KrJobSpec *spec = live_job->job->spec;
     if (live_job->job->cancelled || !live_job->team)
       continue;
-    double all = startable (live_job->job, now);
+    double all = startable_tasks (live_job->job, now);
     gsize team = (gsize) (live_job->used - shard->team_usage);
-    double want = within_limits (live_job, MIN (slots_wanted (live_job), all), &used[team]);
-    double most = within_limits (live_job, all, &used_most[team]);
-    *waiting |= want > 0;
+    double want = cap_to_quota (live_job, MIN (slots_for_goal (live_job), all), &used[team]);
+    double most = cap_to_quota (live_job, all, &used_most[team]);
+    *has_pending |= want > 0;
     if (most + live_job->estimate_input.running <= 0)
       continue;
-    double first = waits_for_first (live_job, KR_STARVATION_MACHINE_S) ? MIN (want, 1) : 0;
+    double first = unstarted_for (live_job, KR_STARVATION_MACHINE_S) ? MIN (want, 1) : 0;
     json_array_append_new (needs, json_pack ("{so ss* sb sf sf sf sf sf sf sb}", "Types",
                                              types_json (spec), "Zone", spec->zone, "Spot",
                                              spec->spot_allowed, "Cpus", spec->cpus, "Gpus",
@@ -848,16 +868,17 @@
   return needs;
 }
 
-/* As far as is known: a machine that has just come to the part may hold anything. */
+/* An estimate: a machine that has just joined the shard and not reported may hold any task, for up
+ * to one lease. */
 static double
-until_empty_s (KrShard *shard, const KrMachine *machine, gint64 now)
+drain_time_s (KrShard *shard, const KrMachine *machine, gint64 now)
 {
-  return machine->has_reported ? rest_s (shard, machine, now)
+  return machine->has_reported ? time_to_drain_s (shard, machine, now)
                                : shard->node->settings->worker_lease_s;
 }
 
-/* Guards against one that has moved here and not reported yet: it has been up, and would otherwise
- * count as still to come, so that a further one is moved in its place. */
+/* Guards against a machine that has moved here and not reported yet: it has been up, and otherwise
+ * would count as still booting, so that a further machine is moved in its place. */
 static gboolean
 has_been_up (const KrMachine *machine)
 {
@@ -867,15 +888,16 @@
 static json_t *
 machine_json (KrShard *shard, const KrMachine *machine, gint64 now)
 {
-  /* A silent one is not idle: it may hang and go on. How long to wait is watch_machine's to say. */
-  gboolean lost = silent (shard, machine, now);
+  /* A silent machine does not count as idle: it may be paused and continue later. check_machine
+   * decides how long to wait. */
+  gboolean lost = is_silent (shard, machine, now);
   double idle =
       machine->attempts->len || !machine->has_reported || lost || shard->phase != SHARD_OPEN
           ? -1
           : (double) (now - machine->idle_since) / G_USEC_PER_SEC;
   return json_pack ("{ss ss* sb sb sf sf sb sI}", "Id", machine->id, "Type", machine->type, "Spot",
                     machine->spot, "Up", has_been_up (machine), "Idle", idle, "Rest",
-                    until_empty_s (shard, machine, now), "Going",
+                    drain_time_s (shard, machine, now), "Going",
                     machine->drain || machine->deleting || machine->reclaim_at != 0 || lost, "To",
                     (json_int_t) machine->move_to);
 }
@@ -884,16 +906,16 @@
 kr_shard_summary (KrShard *shard)
 {
   gint64 now = kr_now ();
-  gboolean waiting = FALSE;
+  gboolean has_pending = FALSE;
   json_t *machines = json_array ();
   GHashTableIter it;
   gpointer machine;
 
-  rank_all (shard, now);
-  json_t *needs = needs_json (shard, now, &waiting);
+  rank_jobs (shard, now);
+  json_t *needs = demands_json (shard, now, &has_pending);
   g_hash_table_iter_init (&it, shard->machines);
   while (kr_shard_next_machine (shard, &it, &machine))
     json_array_append_new (machines, machine_json (shard, machine, now));
-  return json_pack ("{sI sb so so}", "Part", (json_int_t) shard->index, "Waiting", waiting, "Needs",
-                    needs, "Berths", machines);
+  return json_pack ("{sI sb so so}", "Part", (json_int_t) shard->index, "Waiting", has_pending,
+                    "Needs", needs, "Berths", machines);
 }
