--- a/src/shard-progress.c
+++ b/src/shard-progress.c
@@ -1,4 +1,4 @@
-/* A part's jobs: reading them, and writing progress and ends. */
+/* A shard's jobs: reads them, and writes their progress and their ends to the state service. */
 #include "shard-private.h"
 #include "clock.h"
 #include "constants.h"
@@ -6,10 +6,10 @@
 #include <string.h>
 
 /* --- ends ---------------------------------------------------------------------------- */
-/* Guards against a job that lives again, with what an earlier write held: a watch event, a scan or
- * a read from before its end may come seconds after it. */
+/* Marks a job as ended. Guards against a job that becomes live again with an old stored value: a
+ * watch event, a list or a read from before its end may arrive seconds after it. */
 static void
-job_ended (KrShard *shard, const char *id, guint64 revision)
+mark_ended (KrShard *shard, const char *id, guint64 revision)
 {
   g_hash_table_replace (shard->ended_jobs, g_strdup (id), g_memdup2 (&revision, sizeof revision));
   g_hash_table_remove (shard->jobs, id);
@@ -22,16 +22,16 @@
 }
 
 static gboolean
-is_past (gpointer id, gpointer revision, gpointer shown)
+is_watched_past (gpointer id, gpointer revision, gpointer watch_revision)
 {
-  return *(guint64 *) revision <= *(guint64 *) shown;
+  return *(guint64 *) revision <= *(guint64 *) watch_revision;
 }
 
 void
 kr_shard_prune_ended (KrShard *shard)
 {
-  guint64 shown = kr_watch_revision (shard->node->job_watch);
-  g_hash_table_foreach_remove (shard->ended_jobs, is_past, &shown);
+  guint64 watch_revision = kr_watch_revision (shard->node->job_watch);
+  g_hash_table_foreach_remove (shard->ended_jobs, is_watched_past, &watch_revision);
 }
 
 /* --- progress ------------------------------------------------------------------------ */
@@ -39,17 +39,17 @@
   char *id;
   guint8 *bits;
   gboolean final;
-} Written;
+} WrittenJob;
 
 typedef struct {
   KrShard *shard;
-  GPtrArray *items; /* Written */
+  GPtrArray *items; /* WrittenJob */
 } Batch;
 
 static void
-written_free (gpointer p)
+written_job_free (gpointer p)
 {
-  Written *written = p;
+  WrittenJob *written = p;
   g_free (written->id);
   g_free (written->bits);
   g_free (written);
@@ -61,30 +61,30 @@
 } JobRead;
 
 static void
-job_read (guint status, json_t *body, gpointer data)
+on_job_read (guint status, json_t *body, gpointer data)
 {
-  JobRead *r = data;
+  JobRead *read = data;
   KrKeyValue item;
-  if (!r->shard->closed && status == 200 && kr_wire_key_value_parse (body, &item))
-    kr_shard_job_event (r->shard, &item);
-  else if (!r->shard->closed && status == 404) {
-    /* Our final write was applied after all, though its answer was lost. */
-    kr_info ("job %s: ended", r->id);
-    job_ended (r->shard, r->id, kr_wire_revision (body));
+  if (!read->shard->closed && status == 200 && kr_wire_key_value_parse (body, &item))
+    kr_shard_job_event (read->shard, &item);
+  else if (!read->shard->closed && status == 404) {
+    /* The final write was applied, but its response was lost. */
+    kr_info ("job %s: ended", read->id);
+    mark_ended (read->shard, read->id, kr_wire_revision (body));
   }
-  kr_shard_unref (r->shard);
-  g_free (r->id);
-  g_free (r);
+  kr_shard_unref (read->shard);
+  g_free (read->id);
+  g_free (read);
 }
 
 static void
 reread_job (KrShard *shard, const char *id)
 {
   g_autofree char *key = kr_job_key (id);
-  JobRead *r = g_new (JobRead, 1);
-  *r = (JobRead){ kr_shard_ref (shard), g_strdup (id) };
+  JobRead *read = g_new (JobRead, 1);
+  *read = (JobRead){ kr_shard_ref (shard), g_strdup (id) };
   kr_state_get (shard->node->state_client, key, KR_QUEUE_NORMAL, KR_STATE_TIMEOUT_MS, shard->cancel,
-                job_read, r);
+                on_job_read, read);
 }
 
 static gboolean
@@ -98,14 +98,14 @@
 }
 
 static void
-flushed (guint status, json_t *body, gpointer data)
+on_flush_response (guint status, json_t *body, gpointer data)
 {
   Batch *batch = data;
   KrShard *shard = batch->shard;
 
   shard->flush_in_flight = FALSE;
   for (guint i = 0; !shard->closed && i < batch->items->len; i++) {
-    Written *written = batch->items->pdata[i];
+    WrittenJob *written = batch->items->pdata[i];
     KrJob *job = kr_shard_job (shard, written->id);
     g_autofree char *key = kr_job_key (written->id);
     if (!job)
@@ -118,7 +118,7 @@
         kr_info ("job %s: %s, %u tasks, %.1f s after submission", written->id,
                  job->cancelled ? "cancelled" : "done", job->n_done,
                  kr_wall_clock_s () - job->submitted_at);
-        job_ended (shard, written->id, kr_wire_revision (body));
+        mark_ended (shard, written->id, kr_wire_revision (body));
       }
     } else {
       job->progress_dirty = TRUE;
@@ -130,7 +130,7 @@
     kr_timer_add (status == 200 ? KR_FLUSH_BATCH_DELAY_MS : KR_STATE_RETRY_MS, flush_again,
                   kr_shard_ref (shard));
     if (status && status != 200)
-      kr_debug ("part %u: write of progress refused (%u)", shard->index, status);
+      kr_debug ("shard %u: write of job progress failed (status %u)", shard->index, status);
   }
   g_ptr_array_unref (batch->items);
   kr_shard_unref (shard);
@@ -144,16 +144,17 @@
          (job->cancelled ? job->n_active == 0 : kr_job_is_complete (job));
 }
 
-/* Puts and deletes of a job's end: its own key and its chunks go, what became of it comes. */
+/* Returns the number of puts and deletes for a job's end: its key and chunks are removed, its final
+ * state is put. */
 static guint
-end_ops (const KrJob *job)
+final_write_count (const KrJob *job)
 {
   return 1 + kr_job_chunk_count (job);
 }
 
-/* A cancelled job is over only when every machine that may hold its tasks is known. */
+/* A cancelled job only ends once every machine that may hold its tasks is known. */
 static gboolean
-end_is_due (const KrShard *shard, KrJob *job)
+final_write_due (const KrShard *shard, KrJob *job)
 {
   return !job->writing && is_final (job) && (!job->cancelled || shard->phase == SHARD_OPEN);
 }
@@ -164,22 +165,23 @@
   guint ops = 0;
   for (guint i = 0; i < shard->live_jobs->len; i++) {
     KrJob *job = ((KrLiveJob *) shard->live_jobs->pdata[i])->job;
-    ops += end_is_due (shard, job) ? end_ops (job) : 0;
+    ops += final_write_due (shard, job) ? final_write_count (job) : 0;
   }
   return ops;
 }
 
 static int
-longest_ago (gconstpointer a, gconstpointer b)
+compare_flushed_at (gconstpointer a, gconstpointer b)
 {
-  const KrJob *job = *(KrJob *const *) a, *y = *(KrJob *const *) b;
-  return job->flushed_at < y->flushed_at ? -1 : job->flushed_at > y->flushed_at;
+  const KrJob *x = *(KrJob *const *) a, *y = *(KrJob *const *) b;
+  return x->flushed_at < y->flushed_at ? -1 : x->flushed_at > y->flushed_at;
 }
 
-/* What has to be written now: ends, whatever the period; where there are none, progress that is
- * due, the longest waiting first. */
+/* Returns the jobs to write now: those that have ended, whatever the flush period; if there are
+ * none, those whose progress is due, the longest waiting first. `finals` is set to whether they
+ * have ended. */
 static GPtrArray *
-due (KrShard *shard, gint64 now, gboolean *finals)
+jobs_to_write (KrShard *shard, gint64 now, gboolean *finals)
 {
   g_autoptr (GPtrArray) ends = g_ptr_array_new ();
   g_autoptr (GPtrArray) progress = g_ptr_array_new ();
@@ -191,29 +193,29 @@
     KrJob *job = ((KrLiveJob *) value)->job;
     if (job->writing || job->chunks_missing)
       continue;
-    if (end_is_due (shard, job))
+    if (final_write_due (shard, job))
       g_ptr_array_add (ends, job);
     else if (job->progress_dirty && !job->cancelled &&
              now - job->flushed_at >= KR_PROGRESS_FLUSH_MS * 1000)
       g_ptr_array_add (progress, job);
   }
-  g_ptr_array_sort (progress, longest_ago);
+  g_ptr_array_sort (progress, compare_flushed_at);
   *finals = ends->len > 0;
   return *finals ? g_steal_pointer (&ends) : g_steal_pointer (&progress);
 }
 
-/* Puts and deletes that may go out now. */
+/* Returns the number of puts and deletes that may be sent now. */
 static guint
-most_ops (KrShard *shard, gboolean finals)
+max_writes (KrShard *shard, gboolean finals)
 {
   KrStateClient *state = shard->node->state_client;
-  guint most = finals ? MAX (KR_FINAL_WRITES_MIN, kr_state_write_burst (state))
-                      : kr_state_spare_writes (state);
-  return MIN (most, shard->node->settings->state_txn_ops);
+  guint writes_max = finals ? MAX (KR_FINAL_WRITES_MIN, kr_state_write_burst (state))
+                            : kr_state_spare_writes (state);
+  return MIN (writes_max, shard->node->settings->state_txn_ops);
 }
 
 static void
-add_end (KrTxn *txn, const KrJob *job)
+add_final_writes (KrTxn *txn, const KrJob *job)
 {
   g_autofree char *key = kr_job_key (job->spec->id), *end = kr_job_final_key (job->spec->id);
   KrJobState state = job->cancelled ? KR_JOB_CANCELLED : KR_JOB_DONE;
@@ -226,7 +228,7 @@
 }
 
 static void
-add_progress (KrTxn *txn, const KrJob *job)
+add_progress_writes (KrTxn *txn, const KrJob *job)
 {
   g_autofree char *key = kr_job_key (job->spec->id);
   kr_txn_put (txn, key, kr_job_encode (job, job->done, job->n_active), 0);
@@ -237,25 +239,25 @@
 }
 
 static void
-add_job (KrTxn *txn, Batch *batch, KrJob *job, gboolean final, gint64 now)
+add_job_writes (KrTxn *txn, Batch *batch, KrJob *job, gboolean final, gint64 now)
 {
   g_autofree char *key = kr_job_key (job->spec->id);
   kr_txn_expect_revision (txn, key, job->revision);
   if (final)
-    add_end (txn, job);
+    add_final_writes (txn, job);
   else
-    add_progress (txn, job);
-  Written *written = g_new (Written, 1);
-  *written = (Written){ g_strdup (job->spec->id), g_memdup2 (job->done, kr_job_bitmap_bytes (job)),
-                        final };
+    add_progress_writes (txn, job);
+  WrittenJob *written = g_new (WrittenJob, 1);
+  *written = (WrittenJob){ g_strdup (job->spec->id),
+                           g_memdup2 (job->done, kr_job_bitmap_bytes (job)), final };
   g_ptr_array_add (batch->items, written);
   job->writing = TRUE;
   job->progress_dirty = FALSE;
   job->flushed_at = now;
 }
 
-/* One batch. Progress goes out from what other writes leave of the budget: it may be late, since
- * the workers keep what has not become durable. */
+/* Writes one batch. Progress only uses the rate that other writes leave over: it may be late, since
+ * the workers keep each outcome until it is durable. */
 void
 kr_shard_flush_progress (KrShard *shard)
 {
@@ -265,27 +267,27 @@
   if (shard->flush_in_flight || shard->closed || !shard->jobs_loaded ||
       shard->phase == SHARD_LOADING)
     return;
-  g_autoptr (GPtrArray) jobs = due (shard, now, &finals);
-  guint most = most_ops (shard, finals);
-  if (jobs->len == 0 || most == 0)
+  g_autoptr (GPtrArray) jobs = jobs_to_write (shard, now, &finals);
+  guint writes_max = max_writes (shard, finals);
+  if (jobs->len == 0 || writes_max == 0)
     return;
   KrTxn *txn = kr_shard_owner_txn (shard);
   Batch *batch = g_new (Batch, 1);
   gsize bytes = 0;
-  *batch = (Batch){ kr_shard_ref (shard), g_ptr_array_new_with_free_func (written_free) };
+  *batch = (Batch){ kr_shard_ref (shard), g_ptr_array_new_with_free_func (written_job_free) };
   for (guint i = 0; i < jobs->len; i++) {
     KrJob *job = jobs->pdata[i];
-    guint ops = finals ? end_ops (job) : kr_job_chunk_count (job);
+    guint ops = finals ? final_write_count (job) : kr_job_chunk_count (job);
     gsize size = kr_job_bitmap_bytes (job) * 4 / 3 + KR_VALUE_JOB_FIELDS_BYTES;
     if (batch->items->len &&
-        (kr_txn_write_count (txn) + ops > most || bytes + size > KR_COMMIT_MAX_BYTES))
+        (kr_txn_write_count (txn) + ops > writes_max || bytes + size > KR_COMMIT_MAX_BYTES))
       break;
-    add_job (txn, batch, job, finals, now);
+    add_job_writes (txn, batch, job, finals, now);
     bytes += size;
   }
   shard->flush_in_flight = TRUE;
   kr_state_commit (shard->node->state_client, txn, finals ? KR_QUEUE_HIGH : KR_QUEUE_NORMAL,
-                   KR_STATE_TIMEOUT_MS, shard->cancel, flushed, batch);
+                   KR_STATE_TIMEOUT_MS, shard->cancel, on_flush_response, batch);
 }
 
 /* --- jobs ---------------------------------------------------------------------------- */
@@ -298,59 +300,59 @@
 static gboolean read_chunk (gpointer data);
 
 static void
-chunk_read (guint status, json_t *body, gpointer data)
+on_chunk_read (guint status, json_t *body, gpointer data)
 {
-  ChunkRead *r = data;
-  KrShard *shard = r->shard;
-  KrJob *job = shard->closed ? NULL : kr_shard_job (shard, r->id);
+  ChunkRead *read = data;
+  KrShard *shard = read->shard;
+  KrJob *job = shard->closed ? NULL : kr_shard_job (shard, read->id);
   KrKeyValue item;
 
   if (job && status != 200 && status != 404) {
-    kr_timer_add (KR_STATE_RETRY_MS, read_chunk, r);
+    kr_timer_add (KR_STATE_RETRY_MS, read_chunk, read);
     return;
   }
   if (job) {
     if (status == 200 && kr_wire_key_value_parse (body, &item))
-      kr_job_chunk_merge (job, r->chunk, item.value);
+      kr_job_chunk_merge (job, read->chunk, item.value);
     job->chunks_missing--;
   }
   kr_shard_unref (shard);
-  g_free (r->id);
-  g_free (r);
+  g_free (read->id);
+  g_free (read);
 }
 
 static gboolean
 read_chunk (gpointer data)
 {
-  ChunkRead *r = data;
-  g_autofree char *key = kr_job_chunk_key (r->id, r->chunk);
-  kr_state_get (r->shard->node->state_client, key, KR_QUEUE_NORMAL, KR_STATE_TIMEOUT_MS,
-                r->shard->cancel, chunk_read, r);
+  ChunkRead *read = data;
+  g_autofree char *key = kr_job_chunk_key (read->id, read->chunk);
+  kr_state_get (read->shard->node->state_client, key, KR_QUEUE_NORMAL, KR_STATE_TIMEOUT_MS,
+                read->shard->cancel, on_chunk_read, read);
   return G_SOURCE_REMOVE;
 }
 
 static void
-job_cancelled (KrShard *shard, KrLiveJob *live_job)
+cancel_job (KrShard *shard, KrLiveJob *live_job)
 {
   g_autoptr (GHashTable) machines = g_hash_table_new (g_direct_hash, g_direct_equal);
   GHashTableIter it;
-  gpointer b;
+  gpointer machine;
   live_job->job->cancelled = TRUE;
-  kr_info ("job %s: cancelled by its user, %u tasks to stop", live_job->job->spec->id,
+  kr_info ("job %s: cancelled by its user, stopping %u tasks", live_job->job->spec->id,
            live_job->attempts->len);
   kr_live_job_kill_all (live_job);
   for (guint i = 0; i < live_job->attempts->len; i++)
     g_hash_table_add (machines, ((KrAttempt *) live_job->attempts->pdata[i])->machine);
   g_hash_table_iter_init (&it, machines);
-  while (g_hash_table_iter_next (&it, &b, NULL))
-    kr_shard_command_kills (shard, b);
+  while (g_hash_table_iter_next (&it, &machine, NULL))
+    kr_shard_command_kills (shard, machine);
   kr_shard_flush_progress (shard);
 }
 
-/* Whether a machine may still start a task of it: a run that it has not yet confirmed, or one that
- * waits for its image. */
+/* Whether a machine may still start a task of the job: its run order is unconfirmed, or the worker
+ * is still pulling the image. */
 static gboolean
-may_start (const KrLiveJob *live_job)
+may_still_start (const KrLiveJob *live_job)
 {
   for (guint i = 0; i < live_job->attempts->len; i++) {
     const KrAttempt *attempt = live_job->attempts->pdata[i];
@@ -361,10 +363,11 @@
   return FALSE;
 }
 
-/* Our word counts until the tasks are gone, whatever becomes of the state service and of us:
- * every owner after us took its key after the cancellation was committed, reads it before it
- * answers a machine, and a machine that nobody answers ends its tasks with its lease. Without an
- * open part we cannot give it: an earlier owner, which was not asked, may command machines. */
+/* The answer remains valid until the tasks are gone, whatever happens to the state service and to
+ * this node: every later owner acquires its key after the cancellation was committed and reads the
+ * cancellation before it answers a machine, and a machine that nobody answers ends its tasks when
+ * its lease expires. While the shard is not open, this node cannot give that answer: an earlier
+ * owner, which was not asked, may still command machines. */
 KrCancelStatus
 kr_shard_cancel_job (KrShard *shard, const char *id, guint64 owner, guint64 revision)
 {
@@ -374,11 +377,12 @@
   if (!live_job)
     return KR_CANCEL_NO_SUCH_JOB;
   if (!live_job->job->cancelled) {
-    /* Only owners write the rest of the value, under the revision they know: ours is still that. */
+    /* Only the owner writes the rest of the value, expecting the revision that it knows, so nothing
+     * but the cancellation has changed since. */
     live_job->job->revision = MAX (live_job->job->revision, revision);
-    job_cancelled (shard, live_job);
+    cancel_job (shard, live_job);
   }
-  return may_start (live_job) ? KR_CANCEL_PENDING : KR_CANCEL_CONFIRMED;
+  return may_still_start (live_job) ? KR_CANCEL_PENDING : KR_CANCEL_CONFIRMED;
 }
 
 json_t *
@@ -388,37 +392,40 @@
                     (json_int_t) owner, "Revision", (json_int_t) revision);
 }
 
-static const guint word_status[] = { [KR_CANCEL_CONFIRMED] = 200,
-                                     [KR_CANCEL_PENDING] = 202,
-                                     [KR_CANCEL_NO_SUCH_JOB] = 404,
-                                     [KR_CANCEL_NOT_OWNER] = 409 };
+static const guint cancel_http_status[] = { [KR_CANCEL_CONFIRMED] = 200,
+                                            [KR_CANCEL_PENDING] = 202,
+                                            [KR_CANCEL_NO_SUCH_JOB] = 404,
+                                            [KR_CANCEL_NOT_OWNER] = 409 };
 
 guint
-kr_cancel_handle_request (KrNode *node, json_t *question)
-{
-  const char *id = json_string_value (json_object_get (question, "Job"));
-  json_t *shard = json_object_get (question, "Part"), *owner = json_object_get (question, "Owner"),
-         *revision = json_object_get (question, "Revision");
-  if (!id || !json_is_integer (shard) || !json_is_integer (owner) || !json_is_integer (revision))
+kr_cancel_handle_request (KrNode *node, json_t *request)
+{
+  const char *id = json_string_value (json_object_get (request, "Job"));
+  json_t *shard_index = json_object_get (request, "Part"),
+         *owner = json_object_get (request, "Owner"),
+         *revision = json_object_get (request, "Revision");
+  if (!id || !json_is_integer (shard_index) || !json_is_integer (owner) ||
+      !json_is_integer (revision))
     return 400;
-  guint64 p = (guint64) json_integer_value (shard);
-  if (p >= node->settings->shard_count || !node->shards[p])
-    return word_status[KR_CANCEL_NOT_OWNER];
-  return word_status[kr_shard_cancel_job (node->shards[p], id, (guint64) json_integer_value (owner),
-                                          (guint64) json_integer_value (revision))];
+  guint64 index = (guint64) json_integer_value (shard_index);
+  if (index >= node->settings->shard_count || !node->shards[index])
+    return cancel_http_status[KR_CANCEL_NOT_OWNER];
+  return cancel_http_status[kr_shard_cancel_job (node->shards[index], id,
+                                                 (guint64) json_integer_value (owner),
+                                                 (guint64) json_integer_value (revision))];
 }
 
 KrCancelStatus
 kr_cancel_status_from_http (guint status)
 {
-  for (guint w = 0; w < G_N_ELEMENTS (word_status); w++)
-    if (word_status[w] == status)
-      return (KrCancelStatus) w;
+  for (guint i = 0; i < G_N_ELEMENTS (cancel_http_status); i++)
+    if (cancel_http_status[i] == status)
+      return (KrCancelStatus) i;
   return KR_CANCEL_NO_ANSWER;
 }
 
 static gboolean
-preempt_now (gpointer data)
+preempt_soon (gpointer data)
 {
   KrShard *shard = data;
   shard->preempt_timer = 0;
@@ -426,9 +433,10 @@
   return G_SOURCE_REMOVE;
 }
 
-/* What machines report of jobs that have been read. */
+/* Assigns the attempts that machines have reported to the jobs that have been read, and takes in
+ * the outcomes of those that have exited. */
 static void
-count_launches (KrShard *shard)
+match_attempts (KrShard *shard)
 {
   GHashTableIter it;
   gpointer value;
@@ -451,69 +459,69 @@
 }
 
 void
-kr_shard_job_event (KrShard *p, const KrKeyValue *item)
+kr_shard_job_event (KrShard *shard, const KrKeyValue *item)
 {
-  if (!item->value || !p->record_loaded)
+  if (!item->value || !shard->record_loaded)
     return;
   const char *id = item->key + strlen ("job/");
-  KrJob *job = kr_shard_job (p, id);
+  KrJob *job = kr_shard_job (shard, id);
   if (job && item->revision <= job->revision)
     return;
-  if (kr_shard_has_ended (p, id)) {
-    kr_debug ("job %s: its value of revision %" G_GUINT64_FORMAT " is from before its end", id,
-              item->revision);
+  if (kr_shard_has_ended (shard, id)) {
+    kr_debug ("job %s: ignoring its value of revision %" G_GUINT64_FORMAT ", from before its end",
+              id, item->revision);
     return;
   }
-  json_t *shard = json_object_get (item->value, "Part");
-  if (json_is_integer (shard) && (guint) json_integer_value (shard) != p->index)
+  json_t *stored_shard = json_object_get (item->value, "Part");
+  if (json_is_integer (stored_shard) && (guint) json_integer_value (stored_shard) != shard->index)
     return;
   if (job) {
     job->revision = item->revision;
     if (!job->cancelled && json_is_true (json_object_get (item->value, "Cancelled")))
-      job_cancelled (p, g_hash_table_lookup (p->jobs, id));
+      cancel_job (shard, g_hash_table_lookup (shard->jobs, id));
     return;
   }
   job = kr_job_decode (item->value, item->revision);
   if (!job) {
-    kr_info ("state: %s is malformed, left alone", item->key);
+    kr_info ("state service: ignoring the malformed value of %s", item->key);
     return;
   }
-  g_hash_table_insert (p->jobs, job->spec->id, kr_live_job_new (p, job));
-  if (p->jobs_loaded)
-    count_launches (p); /* of a job that was read only now */
-  kr_info ("job %s: %s, %s, %u tasks of %g CPUs, part %u", id, job->spec->job_class,
-           job->spec->team, job->spec->tasks, job->spec->cpus, p->index);
+  g_hash_table_insert (shard->jobs, job->spec->id, kr_live_job_new (shard, job));
+  if (shard->jobs_loaded)
+    match_attempts (shard); /* The job was read after its attempts were reported. */
+  kr_info ("job %s: class %s, team %s, %u tasks of %g CPUs, shard %u", id, job->spec->job_class,
+           job->spec->team, job->spec->tasks, job->spec->cpus, shard->index);
   for (guint c = 1; c <= job->chunks_missing; c++) {
-    ChunkRead *r = g_new (ChunkRead, 1);
-    *r = (ChunkRead){ kr_shard_ref (p), g_strdup (id), c };
-    read_chunk (r);
+    ChunkRead *read = g_new (ChunkRead, 1);
+    *read = (ChunkRead){ kr_shard_ref (shard), g_strdup (id), c };
+    read_chunk (read);
   }
-  if (p->jobs_loaded && is_final (job))
-    kr_shard_flush_progress (p);
-  if (p->jobs_loaded && !p->preempt_timer) /* those who cannot wait for the next tick */
-    p->preempt_timer = kr_timer_add (KR_WATCH_INTERVAL_MS, preempt_now, p);
+  if (shard->jobs_loaded && is_final (job))
+    kr_shard_flush_progress (shard);
+  if (shard->jobs_loaded && !shard->preempt_timer) /* for jobs that cannot wait for the next tick */
+    shard->preempt_timer = kr_timer_add (KR_WATCH_INTERVAL_MS, preempt_soon, shard);
 }
 
 void
 kr_shard_jobs_listed (KrShard *shard, json_t *items)
 {
-  json_t *o;
+  json_t *value;
   size_t i;
 
   if (!shard->record_loaded)
     return;
-  json_array_foreach (items, i, o)
+  json_array_foreach (items, i, value)
   {
     KrKeyValue item;
-    if (kr_wire_key_value_parse (o, &item))
+    if (kr_wire_key_value_parse (value, &item))
       kr_shard_job_event (shard, &item);
   }
   if (shard->jobs_loaded)
     return;
   shard->jobs_loaded = TRUE;
   shard->phase = SHARD_FENCING;
-  count_launches (shard);
-  kr_info ("part %u: %u jobs, %u machines read", shard->index, g_hash_table_size (shard->jobs),
+  match_attempts (shard);
+  kr_info ("shard %u: read %u jobs and %u machines", shard->index, g_hash_table_size (shard->jobs),
            g_hash_table_size (shard->machines));
   kr_shard_answer_held_reports (shard);
   kr_shard_try_open (shard);
