--- a/src/shard-private.h
+++ b/src/shard-private.h
@@ -74,7 +74,7 @@
 void kr_shard_command_kills (KrShard *shard, KrMachine *machine);
 /* Before a machine is taken out of `machines`; `gone`: what became of its launches. */
 void kr_shard_remove_machine (KrShard *shard, KrMachine *machine, KrGoneReason gone);
-#define KR_DELETED_FROM_RECORD_REASON                                                              \
+#define KR_REASON_LEFT_RECORD                                                              \
   "it left the record with tasks" /* why a machine is deleted                                      \
                                    */
 /* Has the cloud delete it: what runs there is gone once it says so. Repeated by those who ask until
--- a/src/shard.c
+++ b/src/shard.c
@@ -716,7 +716,7 @@
   if (!kr_shard_needs_fence (machine))
     check_lease (shard, machine, now);
   else if (shard->phase == SHARD_OPEN) /* The cloud refused the deletion. */
-    kr_shard_delete_machine (shard, machine, KR_DELETED_FROM_RECORD_REASON);
+    kr_shard_delete_machine (shard, machine, KR_REASON_LEFT_RECORD);
   if (machine->deleting)
     return;
   gboolean cancelled = FALSE, kills = FALSE;
