--- a/src/machine.c
+++ b/src/machine.c
@@ -59,7 +59,7 @@
 }
 
 static KrAttempt *
-find (KrMachine *machine, const KrTaskReport *task)
+find_attempt (KrMachine *machine, const KrTaskReport *task)
 {
   for (guint i = 0; i < machine->attempts->len; i++) {
     KrAttempt *attempt = machine->attempts->pdata[i];
@@ -71,7 +71,7 @@
 }
 
 static gboolean
-reported (const KrReport *report, const KrAttempt *attempt)
+report_lists (const KrReport *report, const KrAttempt *attempt)
 {
   for (guint i = 0; i < report->tasks->len; i++) {
     const KrTaskReport *task = &g_array_index (report->tasks, KrTaskReport, i);
@@ -82,9 +82,10 @@
   return FALSE;
 }
 
-/* A launch that was not seen yet. */
+/* Returns an attempt whose run order was sent and that no report has shown yet, or NULL. Ignores
+ * attempts being killed. */
 static KrAttempt *
-in_doubt (const KrMachine *machine)
+find_unconfirmed (const KrMachine *machine)
 {
   for (guint i = 0; i < machine->attempts->len; i++) {
     KrAttempt *attempt = machine->attempts->pdata[i];
@@ -95,43 +96,44 @@
 }
 
 const char *
-kr_gone_reason_name (KrGoneReason gone)
+kr_gone_reason_name (KrGoneReason reason)
 {
   static const char *const names[] = {
-    [KR_GONE_NONE] = "not gone",       [KR_GONE_NOT_REPORTED] = "reported",
-    [KR_GONE_NEW_SESSION] = "session", [KR_GONE_LEASE_EXPIRED] = "lease",
-    [KR_GONE_DELETED] = "deleted",     [KR_GONE_MOVED] = "moved",
+    [KR_GONE_NONE] = "not gone",           [KR_GONE_NOT_REPORTED] = "not in report",
+    [KR_GONE_NEW_SESSION] = "new session", [KR_GONE_LEASE_EXPIRED] = "lease expired",
+    [KR_GONE_DELETED] = "deleted",         [KR_GONE_MOVED] = "moved",
     [KR_GONE_UNSENT] = "never sent"
   };
-  return names[gone];
+  return names[reason];
 }
 
 static void
-launch_gone (KrMachine *machine, KrAttempt *attempt, KrGoneReason gone, KrAttemptEventFunc saw,
-             gpointer data)
+remove_attempt (KrMachine *machine, KrAttempt *attempt, KrGoneReason reason,
+                KrAttemptEventFunc on_event, gpointer data)
 {
-  attempt->gone_reason = gone;
-  saw (machine, attempt, KR_ATTEMPT_GONE, data);
+  attempt->gone_reason = reason;
+  on_event (machine, attempt, KR_ATTEMPT_GONE, data);
   kr_attempt_free (attempt);
 }
 
 void
-kr_machine_remove_attempts (KrMachine *machine, KrGoneReason gone, KrAttemptEventFunc saw,
+kr_machine_remove_attempts (KrMachine *machine, KrGoneReason reason, KrAttemptEventFunc on_event,
                             gpointer data)
 {
-  /* Also where the lease ran out between two reports: a deaf machine that goes from node to node
-   * comes back to its owner only after that, and would be given work each time. */
-  KrAttempt *lost = in_doubt (machine);
-  if (lost)
-    saw (machine, lost, KR_ATTEMPT_UNDELIVERED, data);
+  /* Also if the lease expired between two reports: a machine that receives no responses and reports
+   * to one node after the other returns to its owner only after that, and would be assigned tasks
+   * each time. */
+  KrAttempt *undelivered = find_unconfirmed (machine);
+  if (undelivered)
+    on_event (machine, undelivered, KR_ATTEMPT_UNDELIVERED, data);
   while (machine->attempts->len) {
     KrAttempt *attempt = g_ptr_array_steal_index (machine->attempts, machine->attempts->len - 1);
-    launch_gone (machine, attempt, gone, saw, data);
+    remove_attempt (machine, attempt, reason, on_event, data);
   }
 }
 
 static void
-take_identity (KrMachine *machine, const KrReport *report)
+apply_identity (KrMachine *machine, const KrReport *report)
 {
   if (machine->has_reported && g_strcmp0 (machine->endpoint, report->endpoint) == 0)
     return;
@@ -143,25 +145,26 @@
   machine->zone = g_strdup (report->zone);
   machine->spot = report->spot;
   if (!machine->has_reported)
-    kr_debug ("machine %s: up", machine->id);
+    kr_debug ("machine %s: first report", machine->id);
   machine->has_reported = TRUE;
 }
 
 static void
-take_token (KrMachine *machine, const KrReport *report, guint64 token, gint64 now)
+apply_token (KrMachine *machine, const KrReport *report, guint64 token, gint64 now)
 {
   machine->token = report->token;
   if (report->token != token)
     return;
-  /* Fenced by a direct command, it may fall silent before its next report to us: an earlier owner
-   * may have renewed its lease until now, also after a report that came to us. */
+  /* A machine fenced by a direct command may fall silent before its next report to this node. An
+   * earlier owner may have renewed its lease until now, even after the machine reported to this
+   * node. */
   if (!machine->fenced)
     machine->lease_renewed_at = now;
   machine->fenced = TRUE;
 }
 
 static void
-take_notice (KrMachine *machine, const KrReport *report, gint64 now)
+apply_reclaim_notice (KrMachine *machine, const KrReport *report, gint64 now)
 {
   if (isnan (report->reclaim_notice_s))
     machine->reclaim_at = 0;
@@ -169,88 +172,91 @@
     machine->reclaim_at = now + kr_seconds_to_us (report->reclaim_notice_s);
 }
 
-/* What the report does not show is gone. */
+/* Removes the attempts that the report does not list. */
 static void
-drop_missing (KrMachine *machine, const KrReport *report, gboolean beat, KrAttemptEventFunc saw,
-              gpointer data)
+remove_unlisted_attempts (KrMachine *machine, const KrReport *report, gboolean is_heartbeat,
+                          KrAttemptEventFunc on_event, gpointer data)
 {
-  gboolean unheard = FALSE;
+  gboolean undelivered_seen = FALSE;
   for (guint i = machine->attempts->len; i-- > 0;) {
     KrAttempt *attempt = machine->attempts->pdata[i];
-    if (attempt->planned || reported (report, attempt))
+    if (attempt->planned || report_lists (report, attempt))
       continue;
-    /* In doubt, only a later beat proves it: an answer of /commands or /show may have been written
-     * before the worker took the response with the run. */
-    if (attempt->state == KR_TASK_UNCONFIRMED && !(beat && report->seq > attempt->sent_after_seq))
+    /* For an unconfirmed attempt only a later heartbeat report is proof: an answer to /commands or
+     * /show may have been written before the worker received the response with the run order. */
+    if (attempt->state == KR_TASK_UNCONFIRMED &&
+        !(is_heartbeat && report->seq > attempt->sent_after_seq))
       continue;
-    if (attempt->state == KR_TASK_UNCONFIRMED && !attempt->kill && !unheard)
-      saw (machine, attempt, KR_ATTEMPT_UNDELIVERED, data);
-    unheard |= attempt->state == KR_TASK_UNCONFIRMED;
+    if (attempt->state == KR_TASK_UNCONFIRMED && !attempt->kill && !undelivered_seen)
+      on_event (machine, attempt, KR_ATTEMPT_UNDELIVERED, data);
+    undelivered_seen |= attempt->state == KR_TASK_UNCONFIRMED;
     attempt = g_ptr_array_steal_index (machine->attempts, i);
-    launch_gone (machine, attempt, KR_GONE_NOT_REPORTED, saw, data);
+    remove_attempt (machine, attempt, KR_GONE_NOT_REPORTED, on_event, data);
   }
 }
 
 static void
-take_task (KrMachine *machine, const KrTaskReport *task, gint64 now, KrAttemptEventFunc saw,
-           gpointer data)
+apply_task_report (KrMachine *machine, const KrTaskReport *task, gint64 now,
+                   KrAttemptEventFunc on_event, gpointer data)
 {
-  KrAttempt *attempt = find (machine, task);
-  KrTaskState before = attempt ? attempt->state : KR_TASK_UNCONFIRMED;
+  KrAttempt *attempt = find_attempt (machine, task);
+  KrTaskState old_state = attempt ? attempt->state : KR_TASK_UNCONFIRMED;
   if (!attempt) {
     attempt = kr_machine_add_attempt (machine, task->job, task->index, task->attempt_id);
     attempt->adopted = TRUE;
     attempt->state = task->state;
-    saw (machine, attempt, KR_ATTEMPT_DISCOVERED, data);
+    on_event (machine, attempt, KR_ATTEMPT_DISCOVERED, data);
   }
-  if (before == KR_TASK_UNCONFIRMED && !attempt->adopted)
-    saw (machine, attempt, KR_ATTEMPT_CONFIRMED, data);
+  if (old_state == KR_TASK_UNCONFIRMED && !attempt->adopted)
+    on_event (machine, attempt, KR_ATTEMPT_CONFIRMED, data);
   attempt->state = task->state;
   attempt->exit_reason = task->exit_reason;
   if (task->state == KR_TASK_RUNNING && !attempt->running_since) {
     attempt->running_since = now;
-    saw (machine, attempt, KR_ATTEMPT_STARTED, data);
+    on_event (machine, attempt, KR_ATTEMPT_STARTED, data);
   }
-  if (task->state == KR_TASK_EXITED && before != KR_TASK_EXITED)
-    saw (machine, attempt, KR_ATTEMPT_EXITED, data);
+  if (task->state == KR_TASK_EXITED && old_state != KR_TASK_EXITED)
+    on_event (machine, attempt, KR_ATTEMPT_EXITED, data);
 }
 
-/* Before it is taken in. */
+/* Compares the report with the newest known one. Must be called before the report is applied. */
 static KrReportFreshness
-news_of (const KrMachine *machine, const KrReport *report, gboolean beat)
+report_freshness (const KrMachine *machine, const KrReport *report, gboolean is_heartbeat)
 {
   if (report->session > machine->session)
     return KR_REPORT_FRESH;
-  if (report->session < machine->session) /* guards against reports that a cut held back */
+  /* Guards against reports delayed by a link that was down. */
+  if (report->session < machine->session)
     return KR_REPORT_STALE;
   if (report->seq > machine->seq)
     return KR_REPORT_FRESH;
-  return beat && report->seq > machine->report_seq ? KR_REPORT_OVERTAKEN : KR_REPORT_STALE;
+  return is_heartbeat && report->seq > machine->report_seq ? KR_REPORT_OVERTAKEN : KR_REPORT_STALE;
 }
 
 KrReportFreshness
-kr_machine_apply_report (KrMachine *machine, const KrReport *report, gboolean beat, guint64 token,
-                         gint64 now, KrAttemptEventFunc saw, gpointer data)
+kr_machine_apply_report (KrMachine *machine, const KrReport *report, gboolean is_heartbeat,
+                         guint64 token, gint64 now, KrAttemptEventFunc on_event, gpointer data)
 {
-  KrReportFreshness news = news_of (machine, report, beat);
-  if (beat && news != KR_REPORT_STALE)
+  KrReportFreshness freshness = report_freshness (machine, report, is_heartbeat);
+  if (is_heartbeat && freshness != KR_REPORT_STALE)
     machine->report_seq = report->seq;
-  if (news != KR_REPORT_FRESH)
-    return news;
+  if (freshness != KR_REPORT_FRESH)
+    return freshness;
   if (report->session > machine->session) {
-    kr_machine_remove_attempts (machine, KR_GONE_NEW_SESSION, saw,
-                                data); /* its lease ran out: the worker killed everything */
-    machine->report_seq = beat ? report->seq : 0;
+    /* The lease expired, so the worker killed all its tasks. */
+    kr_machine_remove_attempts (machine, KR_GONE_NEW_SESSION, on_event, data);
+    machine->report_seq = is_heartbeat ? report->seq : 0;
   }
   machine->session = report->session;
   machine->seq = report->seq;
   machine->last_report_at = now;
-  take_token (machine, report, token, now);
-  take_identity (machine, report);
-  take_notice (machine, report, now);
-  drop_missing (machine, report, beat, saw, data);
+  apply_token (machine, report, token, now);
+  apply_identity (machine, report);
+  apply_reclaim_notice (machine, report, now);
+  remove_unlisted_attempts (machine, report, is_heartbeat, on_event, data);
   for (guint i = 0; i < report->tasks->len; i++)
-    take_task (machine, &g_array_index (report->tasks, KrTaskReport, i), now, saw, data);
+    apply_task_report (machine, &g_array_index (report->tasks, KrTaskReport, i), now, on_event,
+                       data);
   return KR_REPORT_FRESH;
 }
 
@@ -262,9 +268,9 @@
     machine->next_call_at = 0;
     return;
   }
-  double pause_s =
+  double backoff_s =
       MIN (KR_WORKER_BACKOFF_MAX_S, KR_WORKER_BACKOFF_S * (1u << machine->failed_calls));
-  machine->next_call_at = now + kr_seconds_to_us (pause_s);
+  machine->next_call_at = now + kr_seconds_to_us (backoff_s);
   machine->failed_calls = MIN (machine->failed_calls + 1, KR_WORKER_BACKOFF_DOUBLINGS);
 }
 
