--- a/src/worker-client.c
+++ b/src/worker-client.c
@@ -4,23 +4,23 @@
 typedef struct {
   KrWorkerReplyFunc reply;
   gpointer data;
-} Op;
+} WorkerCall;
 
 static void
-done (guint status, json_t *body, gpointer data)
+on_response (guint status, json_t *body, gpointer data)
 {
-  Op *op = data;
+  WorkerCall *call = data;
   g_autoptr (KrReport) report = body ? kr_wire_report_parse (body) : NULL;
-  op->reply (status, report, op->data);
-  g_free (op);
+  call->reply (status, report, call->data);
+  g_free (call);
 }
 
-static Op *
-op_new (KrWorkerReplyFunc reply, gpointer data)
+static WorkerCall *
+worker_call_new (KrWorkerReplyFunc reply, gpointer data)
 {
-  Op *op = g_new (Op, 1);
-  *op = (Op){ reply, data };
-  return op;
+  WorkerCall *call = g_new (WorkerCall, 1);
+  *call = (WorkerCall){ reply, data };
+  return call;
 }
 
 void
@@ -28,7 +28,7 @@
                       KrWorkerReplyFunc reply, gpointer data)
 {
   kr_http_client_call (client, "GET", endpoint, KR_PATH_SHOW, NULL, KR_WORKER_TIMEOUT_MS, cancel,
-                       done, op_new (reply, data));
+                       on_response, worker_call_new (reply, data));
 }
 
 void
@@ -36,5 +36,5 @@
                          GCancellable *cancel, KrWorkerReplyFunc reply, gpointer data)
 {
   kr_http_client_call (client, "POST", endpoint, KR_PATH_COMMANDS, commands, KR_WORKER_TIMEOUT_MS,
-                       cancel, done, op_new (reply, data));
+                       cancel, on_response, worker_call_new (reply, data));
 }
