--- a/src/owner-history.c
+++ b/src/owner-history.c
@@ -39,8 +39,8 @@
   history->revision = revision;
   history->holder = is_known_node (settings, holder) ? g_strdup (holder) : NULL;
   history->all_fenced = history->holder && json_is_true (json_object_get (value, "Settled"));
-  /* No owner is earlier than the last complete fencing; a value written by an older version leaves
-   * the field out in this case. */
+  /* Once all machines have been fenced there are no earlier owners. A value written by an older
+   * version leaves the field out then. */
   if (history->all_fenced && !earlier)
     history->earlier_owners = g_ptr_array_new_with_free_func (g_free);
   else if (history->holder)
@@ -69,9 +69,9 @@
   if (!former)
     return value;
   json_t *earlier = json_array ();
+  /* The node itself is left out: the holder entry also covers its earlier processes. */
   for (guint i = 0; i < former->len; i++)
-    if (!g_str_equal (former->pdata[i],
-                      node)) /* The holder's entry also covers its earlier processes. */
+    if (!g_str_equal (former->pdata[i], node))
       json_array_append_new (earlier, json_string (former->pdata[i]));
   json_object_set_new (value, "Earlier", earlier);
   return value;
