--- a/src/shard-dispatch.c
+++ b/src/shard-dispatch.c
@@ -761,7 +761,6 @@
   }
 }
 
-/* Removes planned attempts that are not to start any more. */
 void
 kr_shard_drop_planned (KrShard *shard, KrMachine *machine)
 {
--- a/src/shard.c
+++ b/src/shard.c
@@ -546,10 +546,10 @@
 }
 
 void
-kr_shard_remove_machine (KrShard *shard, KrMachine *machine, KrGoneReason gone)
+kr_shard_remove_machine (KrShard *shard, KrMachine *machine, KrGoneReason reason)
 {
   refuse_held_report (shard, machine);
-  kr_machine_remove_attempts (machine, gone, kr_shard_on_attempt_event, shard);
+  kr_machine_remove_attempts (machine, reason, kr_shard_on_attempt_event, shard);
 }
 
 void
--- a/src/shard.h
+++ b/src/shard.h
@@ -1,63 +1,75 @@
-/* An owned part: its jobs and machines, what runs where, and what of it is durable. */
+/* A shard owned by this node: its jobs and machines, the attempts on them, and what of this is
+ * durable. Each shard has one owner at a time, which holds its key in the state service. */
 #pragma once
 #include "machine.h"
 #include "http-server.h"
 #include "job.h"
 #include "node.h"
 
-/* Begins a takeover under `token`. */
+/* Begins the takeover of a shard whose key this node holds under `token`. Free with
+ * kr_shard_close(). */
 KrShard *kr_shard_new (KrNode *node, guint index, guint64 token);
-/* We hold it no longer: forgets everything. */
+/* Stops all work on a shard that this node no longer owns, and drops the reference. */
 void kr_shard_close (KrShard *shard);
 guint64 kr_shard_token (KrShard *shard);
-/* Our key was renewed by ourselves, without a gap. */
+/* This node has replaced its own key by a newer one, without a gap in ownership. */
 void kr_shard_set_token (KrShard *shard, guint64 token);
 
+/* All jobs below job/ have been listed. `items`: array for kr_wire_key_value_parse. */
 void kr_shard_jobs_listed (KrShard *shard, json_t *items);
+/* A job's key was written. */
 void kr_shard_job_event (KrShard *shard, const KrKeyValue *item);
+/* The stored machine record of the shard has changed. */
 void kr_shard_record_changed (KrShard *shard);
-/* All of c/ was read anew. */
+/* All keys below c/ have been listed again. */
 void kr_shard_membership_relisted (KrShard *shard);
-void kr_shard_machines_listed (KrShard *shard, GHashTable *by_id); /* id -> KrListedMachine */
+/* The cloud's machine list has been read. `by_id`: id -> KrListedMachine. */
+void kr_shard_machines_listed (KrShard *shard, GHashTable *by_id);
 
-/* Takes over `request`. */
+/* Handles a worker's report. Takes ownership of `request`. */
 void kr_shard_handle_report (KrShard *shard, KrRequest *request, const KrReport *report);
-/* What an owner says when it is asked to act on a committed cancellation. */
+/* An owner's answer to the request to act on a committed cancellation. */
 typedef enum {
-  KR_CANCEL_CONFIRMED,   /* nothing of the job starts any more, and what runs is being stopped */
-  KR_CANCEL_PENDING,     /* a launch may still start: its machine has not said */
-  KR_CANCEL_NO_SUCH_JOB, /* no such job here: not yet read, or over */
-  KR_CANCEL_NOT_OWNER,   /* not, no longer or not yet entitled to say */
-  KR_CANCEL_NO_ANSWER    /* the asker's: no answer */
+  KR_CANCEL_CONFIRMED,   /* no task of the job starts any more, the running ones are being killed */
+  KR_CANCEL_PENDING,     /* a task may still start: its machine has not confirmed or started it */
+  KR_CANCEL_NO_SUCH_JOB, /* the job is not known here: not read yet, or ended */
+  KR_CANCEL_NOT_OWNER,   /* the asked node does not own the shard, or the shard is not open */
+  KR_CANCEL_NO_ANSWER    /* set by the asking node: there was no answer */
 } KrCancelStatus;
-/* A cancellation is committed, in the job's revision `revision`, when the part's owner key had the
- * revision `owner`. Acts on it at once, without the state service. */
+/* Acts at once on a cancellation, without the state service. The cancellation was committed in the
+ * job's revision `revision`, when the shard's owner key had the revision `owner`. */
 KrCancelStatus kr_shard_cancel_job (KrShard *shard, const char *id, guint64 owner,
                                     guint64 revision);
-/* The same between nodes: {"Part","Job","Owner","Revision"}; the word is a status. */
+/* The same between nodes. Body: {"Part","Job","Owner","Revision"}; the HTTP status stands for the
+ * KrCancelStatus. */
 #define KR_PEER_CANCELLATIONS "/cancellations"
 json_t *kr_cancel_request_new (guint shard, const char *id, guint64 owner, guint64 revision);
-guint kr_cancel_handle_request (KrNode *node, json_t *question); /* the status */
+/* Returns the HTTP status of the response. */
+guint kr_cancel_handle_request (KrNode *node, json_t *request);
 KrCancelStatus kr_cancel_status_from_http (guint status);
 
-/* Between nodes, from a part's new owner to a former one: {"Part","Owner","Token"}. 200: no process
- * of the asked node answers the part's machines under a lower token any more. */
+/* Sent by a shard's new owner to a former one. Body: {"Part","Owner","Token"}. A 200 confirms that
+ * no process of the asked node answers the shard's machines under a lower token any more. */
 #define KR_PEER_TAKEOVERS "/takeovers"
-guint kr_takeover_handle_request (KrNode *node, json_t *question); /* the status */
+/* Returns the HTTP status of the response. */
+guint kr_takeover_handle_request (KrNode *node, json_t *request);
 
-/* Live counts of a job; FALSE if it is not known here. */
+/* Stores the numbers of a job's completed and active tasks. Returns FALSE if the job is not known
+ * here. */
 gboolean kr_shard_job_counts (KrShard *shard, const char *id, guint *done, guint *running);
 
-/* Puts and deletes that the ends of its jobs wait for. */
+/* Returns the number of puts and deletes still needed to write the ends of jobs. */
 guint kr_shard_pending_end_writes (KrShard *shard);
 
-/* Steps of walks over all machines so far: what the tests count. */
+/* Returns the number of machines visited so far by walks over all of them; tests check it. */
 guint64 kr_shard_machine_visits (KrShard *shard);
 
-/* For the leader: {"Part","Waiting","Needs":[...],"Berths":[...]} */
+/* Returns the summary for the leader: {"Part","Waiting","Needs":[...],"Berths":[...]}. The caller
+ * frees it with json_decref(). */
 json_t *kr_shard_summary (KrShard *shard);
-/* Marks a machine, or (`to`: this part) takes the mark away; kr_shard_move_marked moves what is
- * marked and empty, together. */
+/* Marks a machine to be moved to the shard `to`; this shard's own index removes the mark. */
 void kr_shard_mark_for_move (KrShard *shard, const char *id, guint to);
+/* Moves the machines that are marked and empty, as many as one transaction allows. */
 void kr_shard_move_marked (KrShard *shard);
+/* Returns a machine to the cloud if it is empty and not marked for a move. */
 void kr_shard_return_machine (KrShard *shard, const char *id);
