--- a/src/shard-dispatch.c
+++ b/src/shard-dispatch.c
@@ -815,7 +815,8 @@
 slots_for_goal (const KrLiveJob *live_job)
 {
   /* Aims at a moment before the goal: image pulls, reports and moves take time that the paper's
-   * estimate does not include, and a job given exactly the slots it needs would end just too late.
+   * estimate does not include, and a job given exactly the slots it demands would end just too
+   * late.
    */
   KrEstimateInput input = live_job->estimate_input;
   input.goal = input.submitted + KR_RENT_GOAL_SHARE * (input.goal - input.submitted);
@@ -841,7 +842,7 @@
   gsize size = shard->node->settings->teams->len * sizeof (KrResources);
   g_autofree KrResources *used = g_memdup2 (shard->team_usage, size),
                          *used_most = g_memdup2 (shard->team_usage, size);
-  json_t *needs = json_array ();
+  json_t *demands = json_array ();
 
   for (guint i = 0; i < shard->live_jobs->len; i++) {
     const KrLiveJob *live_job = shard->live_jobs->pdata[i];
@@ -856,15 +857,15 @@
     if (most + live_job->estimate_input.running <= 0)
       continue;
     double first = unstarted_for (live_job, KR_STARVATION_MACHINE_S) ? MIN (want, 1) : 0;
-    json_array_append_new (needs, json_pack ("{so ss* sb sf sf sf sf sf sf sb}", "Types",
-                                             types_json (spec), "Zone", spec->zone, "Spot",
-                                             spec->spot_allowed, "Cpus", spec->cpus, "Gpus",
-                                             spec->gpus, "Mem", spec->mem_gb, "First", first,
-                                             "Slots", want + live_job->estimate_input.running,
-                                             "Most", most + live_job->estimate_input.running,
-                                             "Urgent", spec->priority >= KR_PRIORITY_URGENT));
+    json_array_append_new (demands, json_pack ("{so ss* sb sf sf sf sf sf sf sb}", "Types",
+                                               types_json (spec), "Zone", spec->zone, "Spot",
+                                               spec->spot_allowed, "Cpus", spec->cpus, "Gpus",
+                                               spec->gpus, "Mem", spec->mem_gb, "First", first,
+                                               "Slots", want + live_job->estimate_input.running,
+                                               "Most", most + live_job->estimate_input.running,
+                                               "Urgent", spec->priority >= KR_PRIORITY_URGENT));
   }
-  return needs;
+  return demands;
 }
 
 /* An estimate: a machine that has just joined the shard and not reported may hold any task, for up
@@ -911,10 +912,10 @@
   gpointer machine;
 
   rank_jobs (shard, now);
-  json_t *needs = demands_json (shard, now, &has_pending);
+  json_t *demands = demands_json (shard, now, &has_pending);
   g_hash_table_iter_init (&it, shard->machines);
   while (kr_shard_next_machine (shard, &it, &machine))
     json_array_append_new (machines, machine_json (shard, machine, now));
   return json_pack ("{sI sb so so}", "Part", (json_int_t) shard->index, "Waiting", has_pending,
-                    "Needs", needs, "Berths", machines);
+                    "Needs", demands, "Berths", machines);
 }
--- a/src/shard.c
+++ b/src/shard.c
@@ -19,8 +19,9 @@
 {
   if (!g_ref_count_dec (&shard->refs))
     return;
-  g_hash_table_unref (shard->jobs); /* Unreferenced before the machines, since freeing the live jobs
-                                       accesses the machines' attempts. */
+  /* The jobs come before the machines, since freeing the live jobs accesses the machines' attempts.
+   */
+  g_hash_table_unref (shard->jobs);
   g_hash_table_unref (shard->machines);
   g_hash_table_unref (shard->ended_jobs);
   g_ptr_array_unref (shard->live_jobs);
@@ -89,7 +90,7 @@
 static void
 task_failed (KrShard *shard, KrMachine *machine, KrJob *job, double ran_s, gint64 now)
 {
-  guint jobs_failing_only_here = 0;
+  guint fault_score = 0;
   GHashTableIter it;
   gpointer id;
 
@@ -116,16 +117,18 @@
   g_hash_table_iter_init (&it, machine->failed_jobs);
   while (g_hash_table_iter_next (&it, &id, NULL)) {
     KrJob *other_job = kr_shard_job (shard, id);
+    /* A job that fails only here counts once, or twice if it has completed tasks before. */
     if (other_job && g_hash_table_size (other_job->failed_on) == 1)
-      jobs_failing_only_here += 1 + (other_job->timed_count > 0);
+      fault_score += 1 + (other_job->timed_count > 0);
   }
-  if (jobs_failing_only_here >= KR_FAULTY_MACHINE_JOBS && !machine->drain) {
+  if (fault_score >= KR_FAULTY_MACHINE_JOBS && !machine->drain) {
     kr_info ("machine %s: several jobs fail only on this machine; draining it", machine->id);
     machine->drain = TRUE;
   }
 }
 
-/* Drains a machine that is much slower than its peers: it delays every task that it gets. */
+/* Updates the machine's slowdown and drains a machine that is much slower than its peers, since it
+ * delays every task that it gets. */
 static void
 update_slowdown (KrMachine *machine, const KrJob *job, double ran_s)
 {
@@ -184,8 +187,8 @@
 {
   guint shift =
       KR_UNDELIVERED_BACKOFF_SHIFT * MIN (machine->undelivered, KR_UNDELIVERED_BACKOFF_STEPS);
-  double pause_s = MIN (KR_UNDELIVERED_BACKOFF_MAX_S, KR_UNDELIVERED_BACKOFF_S * (1u << shift));
-  machine->no_start_until = kr_now () + kr_seconds_to_us (pause_s);
+  double backoff_s = MIN (KR_UNDELIVERED_BACKOFF_MAX_S, KR_UNDELIVERED_BACKOFF_S * (1u << shift));
+  machine->no_start_until = kr_now () + kr_seconds_to_us (backoff_s);
   machine->undelivered++;
   kr_info ("machine %s: a run order did not reach it; backing off", machine->id);
 }
@@ -459,12 +462,12 @@
       if (!machine->endpoint && listed->endpoint && *listed->endpoint)
         machine->endpoint = g_strdup (listed->endpoint);
       const KrMachineType *type = kr_node_machine_type (shard->node, listed->type);
-      double boot =
+      double boot_limit_s =
           MAX (KR_BOOT_MIN_S, type ? type->boot_s * KR_BOOT_GIVE_UP_FACTOR : KR_BOOT_MIN_S);
       if (listed->state == KR_MACHINE_FAILED)
         kr_shard_delete_machine (shard, machine, "it has failed");
       else if (listed->state == KR_MACHINE_STARTING && !machine->last_report_at &&
-               listed->age_s > boot)
+               listed->age_s > boot_limit_s)
         kr_shard_delete_machine (shard, machine, "it did not start in time");
     } else if ((machine->listed || (machine->used && !machine->last_report_at) ||
                 unlisted_and_silent (machine, now, lag)) &&
@@ -608,11 +611,11 @@
 }
 
 /* --- periodic duties ----------------------------------------------------------------- */
-/* How the CPUs of the shard's machines are used. */
+/* How the shard's machines and their CPUs are used. */
 typedef struct {
-  guint up, starting;
-  double running, pulling, unconfirmed;         /* in use */
-  double reserved, moving, unusable, available; /* free */
+  guint up, starting;                           /* machines */
+  double running, pulling, unconfirmed;         /* CPUs in use */
+  double reserved, moving, unusable, available; /* free CPUs */
 } Status;
 
 static double *
