--- a/src/shard-dispatch.c
+++ b/src/shard-dispatch.c
@@ -267,8 +267,9 @@
       (!job->timed_count ||
        kr_estimate_mean_task_s (&live_job->estimate_input) > time_to_drain_s (shard, machine, now)))
     return FALSE;
-  /* After a failure on one machine only, another machine shall show whether the job or the machine
-   * is at fault. If no other machine has capacity, the job does not wait for that for ever. */
+  /* After a failure on one machine only, the job avoids that machine for KR_FAILED_MACHINE_AVOID_S:
+   * another machine shall show whether the job or the machine is at fault. It does not avoid it for
+   * ever, since no other machine may have capacity. */
   if (!kr_job_is_suspect (job) &&
       now - job->failed_at < kr_seconds_to_us (KR_FAILED_MACHINE_AVOID_S) &&
       g_hash_table_contains (job->failed_on, machine->id) &&
@@ -474,7 +475,7 @@
 }
 
 /* Releases the machine's reservation once the job for which it was made has no unstarted tasks, and
- * lets the other jobs in again. Returns FALSE if there is no such reservation. */
+ * admits the other jobs to the round again. Returns FALSE if there is no such reservation. */
 static gboolean
 release_reservation (KrShard *shard, KrMachine *machine)
 {
@@ -723,9 +724,9 @@
   return kr_ranking_compare (&x->ranking_key, &y->ranking_key);
 }
 
-/* Permitted preemption: a waiting job reserves machines on which it may preempt tasks. Attempts
- * that lose no more run time than the job has waited are preempted at once, the others after
- * `preempt_all_after_s`, which is at most half of its start goal. */
+/* Lets waiting jobs reserve machines on which they may preempt tasks. Attempts that lose no more
+ * run time than the job has waited are preempted at once, the others after `preempt_all_after_s`,
+ * which is at most half of its start goal. */
 void
 kr_shard_preempt (KrShard *shard, gint64 now)
 {
@@ -815,8 +816,7 @@
 slots_for_goal (const KrLiveJob *live_job)
 {
   /* Aims at a moment before the goal: image pulls, reports and moves take time that the paper's
-   * estimate does not include, and a job given exactly the slots it demands would end just too
-   * late.
+   * estimate does not include, and a job given exactly the slots it needs would end just too late.
    */
   KrEstimateInput input = live_job->estimate_input;
   input.goal = input.submitted + KR_RENT_GOAL_SHARE * (input.goal - input.submitted);
--- a/src/shard-takeover.c
+++ b/src/shard-takeover.c
@@ -148,8 +148,9 @@
     const char *why;
     if (!kr_shard_needs_fence (machine))
       continue;
-    /* No node that could command or answer the machine does so any more, so its lease has expired.
-     * This works even if the cloud does not delete the machine. */
+    /* All former owners have stopped answering the machine, and neither they nor this node have
+     * renewed its lease for its whole length. It has expired, whether or not the cloud deletes the
+     * machine. */
     if (shard->former_stopped_at &&
         kr_lease_expired (MAX (shard->former_stopped_at, machine->lease_renewed_at),
                           kr_membership_lease_confirmed_at (shard->node->membership),
@@ -369,7 +370,7 @@
   kr_shard_unref (shard);
 }
 
-/* The list was started after this node acquired the shard's key. It contains every machine that an
+/* The list of c/ began after this node acquired the shard's key. It contains every machine that an
  * earlier owner may have used, since that was durable before the machine's first run order, and an
  * earlier owner's later writes fail. */
 void
