--- a/src/machine-records.c
+++ b/src/machine-records.c
@@ -384,7 +384,7 @@
 }
 
 guint
-kr_record_update_ops (const KrRecordUpdate *update)
+kr_record_update_chunk_count (const KrRecordUpdate *update)
 {
   return update->changes->len;
 }
--- a/src/machine-records.h
+++ b/src/machine-records.h
@@ -80,7 +80,7 @@
  * Returns FALSE if the update writes none. */
 gboolean kr_record_update_chunk_version (const KrRecordUpdate *update, KrChunkVersion *version);
 /* Returns the number of chunks that the update writes. */
-guint kr_record_update_ops (const KrRecordUpdate *update);
+guint kr_record_update_chunk_count (const KrRecordUpdate *update);
 void kr_record_update_add_to_txn (const KrRecordUpdate *update, KrTxn *txn);
 /* Applies the update to the records, after its transaction was committed at this revision. */
 void kr_record_update_committed (const KrRecordUpdate *update, guint64 revision);
--- a/src/provisioner.c
+++ b/src/provisioner.c
@@ -516,8 +516,8 @@
     provisioner->has_unconfirmed_update = FALSE;
   if (provisioner->has_unconfirmed_update)
     kr_record_update_touch_chunk (assignment->update, &provisioner->unconfirmed_chunk);
-  for (guint i = 0;
-       i < machines->len && kr_record_update_ops (assignment->update) < settings->state_txn_ops;
+  for (guint i = 0; i < machines->len &&
+                    kr_record_update_chunk_count (assignment->update) < settings->state_txn_ops;
        i++) {
     const KrListedMachine *listed = machines->pdata[i];
     const KrMachineType *type = kr_node_machine_type (provisioner->node, listed->type);
--- a/src/rebalance.c
+++ b/src/rebalance.c
@@ -43,7 +43,7 @@
 static void
 count_cpus (Round *round)
 {
-  memset (round->have, 0, round->in->shards * sizeof *round->have);
+  memset (round->have, 0, round->in->shard_count * sizeof *round->have);
   for (guint i = 0; i < round->supplies->len; i++) {
     const KrSupply *machine = round->supplies->pdata[i];
     if (is_counted (machine) && (machine->up || !round->up))
@@ -61,7 +61,7 @@
 largest_deficit (const Round *round)
 {
   guint most = 0;
-  for (guint shard = 1; shard < round->in->shards; shard++)
+  for (guint shard = 1; shard < round->in->shard_count; shard++)
     if (deficit (round, shard) > deficit (round, most))
       most = shard;
   return most;
@@ -182,8 +182,9 @@
 kr_rebalance (const KrRebalanceInput *in, GPtrArray *supplies, KrRebalanceFunc move, gpointer data)
 {
   g_autofree gint *chosen = g_new (gint, MAX (1, supplies->len));
-  g_autofree double *have = g_new0 (double, in->shards);
-  g_autofree guint *leaving = g_new0 (guint, in->shards), *count = g_new0 (guint, in->shards);
+  g_autofree double *have = g_new0 (double, in->shard_count);
+  g_autofree guint *leaving = g_new0 (guint, in->shard_count),
+                   *count = g_new0 (guint, in->shard_count);
   Round round = { in, supplies, chosen, TRUE, have, leaving, count };
 
   for (guint i = 0; i < supplies->len; i++) {
--- a/src/rebalance.h
+++ b/src/rebalance.h
@@ -5,7 +5,7 @@
 
 /* The inputs of one round of rebalancing. The arrays have one entry per shard. */
 typedef struct {
-  guint shards;
+  guint shard_count;
   const double *targets;          /* CPUs that the shard should have */
   const char *const *owner_zones; /* zone of the shard's owner; NULL: unknown */
   const gboolean *has_pending;    /* the shard has tasks that wait for capacity */
--- a/src/shard-record.c
+++ b/src/shard-record.c
@@ -131,7 +131,8 @@
     return;
   KrRecordUpdate *update = kr_record_update_new (shard->node->machine_records);
   g_hash_table_iter_init (&it, shard->deleted_ids);
-  while (kr_record_update_ops (update) < writes_max && g_hash_table_iter_next (&it, &id, NULL)) {
+  while (kr_record_update_chunk_count (update) < writes_max &&
+         g_hash_table_iter_next (&it, &id, NULL)) {
     const KrMachineRecord *record = kr_machine_records_find (shard->node->machine_records, id);
     if (record && record->shard == shard->index)
       kr_record_update_remove (update, id);
@@ -139,7 +140,8 @@
       g_hash_table_iter_remove (&it);
   }
   g_hash_table_iter_init (&it, shard->machines);
-  while (kr_record_update_ops (update) < writes_max && g_hash_table_iter_next (&it, &id, &value)) {
+  while (kr_record_update_chunk_count (update) < writes_max &&
+         g_hash_table_iter_next (&it, &id, &value)) {
     KrMachine *machine = value;
     if (!machine->used && machine->use_pending)
       kr_record_update_set (update, id, machine->endpoint);
@@ -147,7 +149,7 @@
       kr_record_update_touch (update, id);
   }
   json_t *history = pending_owner_history (shard);
-  if (!history && kr_record_update_ops (update) == 0) {
+  if (!history && kr_record_update_chunk_count (update) == 0) {
     kr_record_update_free (update);
     return;
   }
@@ -155,7 +157,7 @@
   write->update = update;
   /* Spaces the writes so that the record takes at most KR_RECORD_WRITE_SHARE of this node's writes,
    * but by one tick at most, since a booted machine waits for its entry. */
-  double interval_s = kr_record_update_ops (update) /
+  double interval_s = kr_record_update_chunk_count (update) /
                       (KR_RECORD_WRITE_SHARE * kr_state_write_burst (shard->node->state_client));
   shard->next_record_write_at =
       kr_now () +
@@ -209,7 +211,7 @@
 remove_duplicate (const char *id, const KrMachineRecord *record, gpointer data)
 {
   const Duplicates *duplicates = data;
-  if (kr_record_update_ops (duplicates->update) + 2 >
+  if (kr_record_update_chunk_count (duplicates->update) + 2 >
       duplicates->shard->node->settings->state_txn_ops)
     return; /* The next call continues. */
   kr_invariant_violated (KR_INVARIANT_ONE_RECORD,
@@ -228,7 +230,7 @@
   Duplicates duplicates = { shard, kr_record_update_new (shard->node->machine_records) };
   kr_machine_records_foreach_duplicate (shard->node->machine_records, shard->index,
                                         remove_duplicate, &duplicates);
-  if (kr_record_update_ops (duplicates.update) == 0) {
+  if (kr_record_update_chunk_count (duplicates.update) == 0) {
     kr_record_update_free (duplicates.update);
     return;
   }
@@ -264,7 +266,8 @@
   write->update = update;
   write->moving = g_ptr_array_new_with_free_func (g_free);
   g_hash_table_iter_init (&it, shard->machines);
-  while (kr_record_update_ops (update) < writes_max && g_hash_table_iter_next (&it, &id, &value)) {
+  while (kr_record_update_chunk_count (update) < writes_max &&
+         g_hash_table_iter_next (&it, &id, &value)) {
     KrMachine *machine = value;
     const KrMachineRecord *record = kr_machine_records_find (shard->node->machine_records, id);
     if (!may_move (machine) || !record || record->shard != shard->index ||
--- a/tests/test_machine_records.c
+++ b/tests/test_machine_records.c
@@ -144,7 +144,7 @@
   g_assert_cmpuint (strays, ==, 1);
   g_autoptr (KrRecordUpdate) draft = kr_record_update_new (records);
   kr_record_update_remove_duplicates (draft, 0, "host-000001");
-  g_assert_cmpuint (kr_record_update_ops (draft), ==,
+  g_assert_cmpuint (kr_record_update_chunk_count (draft), ==,
                     2); /* only while the other chunk stays as it is */
   kr_record_update_committed (draft, 3);
   strays = 0;
