--- a/tests/test_service.c
+++ b/tests/test_service.c
@@ -163,8 +163,8 @@
     sim_state_outage (FALSE);
     sim_run (7.4);
   }
-  /* A node that starts during an outage has had no answer yet and must tell its peers so: they
-   * would otherwise take it for served and leave the load balancer. */
+  /* A node that starts during an outage has had no answer yet and must tell its peers so. They
+   * would otherwise conclude that the state service answers it, and leave the load balancer. */
   sim_state_outage (TRUE);
   sim_run (3.5);
   sim_node_kill (2);
@@ -470,9 +470,9 @@
 }
 
 /* The node that receives the cancellation still believes that the previous owner owns the shard,
- * and reaches that node, while the present owner does not see the cancellation. It must be
- * committed under the present owner's key, and confirmed to the user only once the present owner
- * knows of it. */
+ * and reaches that node, while the present owner does not see the cancellation. The cancellation
+ * must be committed under the present owner's key, and confirmed to the user only once the present
+ * owner knows of it. */
 static void
 cancel_stale_view (void)
 {
@@ -590,8 +590,9 @@
   sim_stop ();
 }
 
-/* Unconfirmed attempts count toward the team's quota. In each round, one node's link to the busiest
- * machine drops or holds the answers to reports, which carry the run orders. */
+/* Unconfirmed attempts count toward the team's quota, also on a machine that falls silent just when
+ * it is given work. In each round, one node's link to the busiest machine drops or holds the
+ * answers to reports, which carry the run orders. */
 static void
 test_quota_with_unconfirmed_attempts (void)
 {
@@ -753,8 +754,7 @@
 }
 
 /* A machine's reports arrive, but neither answers nor commands reach it. Its tasks must run
- * elsewhere once its lease is over, and the owner must not lose one run order after the other to
- * it. */
+ * elsewhere once its lease is over, and the owner must not go on sending it run orders. */
 static void
 test_machine_receives_nothing (void)
 {
--- a/tests/test_takeover.c
+++ b/tests/test_takeover.c
@@ -29,14 +29,14 @@
   double state_outage_s; /* the state service is out this long in the middle of the wait */
   /* The number of successors that crash in the wait, one after the other. */
   guint successor_crashes;
-  double clock_drift;          /* of the nodes' clocks */
+  double clock_drift;          /* share by which the nodes' clocks run fast */
   gboolean replay_old_reports; /* reports from before the crash reach all nodes in the wait */
 } TakeoverScenario;
 
 #define CLOUD_OUTAGE_S 60.0 /* five times the lease of these tests */
 
 /* Pauses a machine of the first job and others, at most `max` in all, and adds their names to
- * `names`. With `on` FALSE, the machines in `names` go on. */
+ * `names`. With `on` FALSE, resumes the machines in `names`. */
 static void
 pause_machines (guint max, gboolean on, GPtrArray *names)
 {
@@ -64,7 +64,7 @@
   }
 }
 
-/* Crashes n1 and n2 in turn, each for 8 s. */
+/* Crashes n1 and n2 in turn, `count` times in all; each time the node is down for 8 s. */
 static void
 crash_successors (guint count)
 {
@@ -198,9 +198,9 @@
       TRUE);
 }
 
-/* The machines go on shortly before their lease of 12 s expires, or after it. */
+/* The machines resume shortly before their lease of 12 s expires, or after it. */
 static void
-test_machines_go_on (void)
+test_machines_resume (void)
 {
   const double pause_s_values[] = { 10.5, 11.5, 12.5, 16, 24 };
   for (guint i = 0; i < G_N_ELEMENTS (pause_s_values); i++)
@@ -353,7 +353,7 @@
 static void
 late_confirmation (void)
 {
-  start_with_cloud_outage (&default_options, 12); /* the other machine has room for them */
+  start_with_cloud_outage (&default_options, 12); /* the other machine has free capacity */
   g_autofree char *machine = g_strdup (sim_busiest_machine ());
   set_links_except (machine, default_options.nodes, 0, SIM_LINK_DROP);
   set_peer_links (SIM_LINK_DROP);
@@ -380,7 +380,7 @@
 static void
 lease_renewed_by_new_owner (void)
 {
-  start_with_cloud_outage (&default_options, 12); /* the other machine has room for them */
+  start_with_cloud_outage (&default_options, 12); /* the other machine has free capacity */
   g_autofree char *machine = g_strdup (sim_busiest_machine ());
   sim_delay_commands (1);                           /* only reports can then fence a machine */
   sim_set_link_both ("n0", "state", SIM_LINK_DROP); /* its peers reach n0: it confirms */
@@ -549,10 +549,10 @@
   set_links_except (with_room, options.nodes, (guint) second, SIM_LINK_DROP);
   set_links_except (second_name, options.nodes, (guint) second, SIM_LINK_DROP);
   sim_run (32);
-  /* The third node answers the machine. A node that has lost the state service while its peers
-   * reach it must name no owner to a worker. Without this guard the machine went to and fro between
-   * the first node, which named the second as the owner, and the second, until its lease expired
-   * and its 8 tasks counted as gone. */
+  /* The third node answers the machine. A node that cannot reach the state service while a peer can
+   * must name no owner to a worker. Without this guard the machine went to and fro between the
+   * first node, which named the second as the owner, and the second, until its lease expired and
+   * its 8 tasks counted as gone. */
   g_assert_cmpuint (sim_tasks_running ("wk-000001"), ==, 12);
   sim_run (10);
   g_assert_cmpstr (sim_violations (), ==, "");
@@ -701,7 +701,7 @@
   g_test_add_func ("/takeover/former-owner-stays-down", test_former_owner_stays_down);
   g_test_add_func ("/takeover/former-owner-crashes-again", test_former_owner_crashes_again);
   g_test_add_func ("/takeover/several-machines", test_several_machines);
-  g_test_add_func ("/takeover/machines-go-on", test_machines_go_on);
+  g_test_add_func ("/takeover/machines-resume", test_machines_resume);
   g_test_add_func ("/takeover/successive-takeovers", test_successive_takeovers);
   g_test_add_func ("/takeover/old-reports", test_old_reports);
   g_test_add_func ("/takeover/state-outage", test_state_outage);
