--- a/tests/test_meetings.c
+++ b/tests/test_combined_faults.c
@@ -1,5 +1,6 @@
-/* Where two troubles meet: whole nodes in simulated time. Each test brings a meeting about and lets
- * the stand-ins watch every rule over the whole of it; docs/incidents/meetings.md lists them. */
+/* Combinations of faults: whole nodes in simulated time. Each test brings about several faults at
+ * once, and the rule checker of the simulated cluster checks every rule of the protocol throughout.
+ * docs/incidents/meetings.md lists the combinations. */
 #include "fixture.h"
 #include <string.h>
 
@@ -11,34 +12,36 @@
   return names[i];
 }
 
-/* A node and the machines of a zone, from all the rest. */
+/* Sets the links between a node together with the machines of a zone on one side and all other
+ * nodes on the other side, and the node's links to the state service, the cloud and the users. */
 static void
-cut_zone (guint node, const char *zone, SimLinkState how)
+set_zone_links (guint node, const char *zone, SimLinkState link_state)
 {
   g_auto (GStrv) machines = sim_machine_names (zone);
   const char *const outside[] = { "state", "cloud", "user" };
   for (guint i = 0; i < G_N_ELEMENTS (outside); i++)
-    sim_set_link_both (node_name (node), outside[i], how);
+    sim_set_link_both (node_name (node), outside[i], link_state);
   for (guint i = 0; i < default_options.nodes; i++) {
     if (i == node)
       continue;
-    sim_set_link_both (node_name (node), node_name (i), how);
+    sim_set_link_both (node_name (node), node_name (i), link_state);
     for (char **m = machines; *m; m++)
-      sim_set_link_both (*m, node_name (i), how);
+      sim_set_link_both (*m, node_name (i), link_state);
   }
 }
 
 static void
-hang (char **machines, guint most, gboolean on)
+pause_machines (char **machines, guint max_count, gboolean paused)
 {
-  for (guint i = 0; machines[i] && i < most; i++)
-    sim_machine_pause (machines[i], on);
+  for (guint i = 0; machines[i] && i < max_count; i++)
+    sim_machine_pause (machines[i], paused);
 }
 
-/* Work goes on inside a zone that is cut off for longer than a lease; what it reports, and what its
- * node wrote, comes late or never. */
+/* A node and the machines of one zone are partitioned from the rest for longer than a lease, and
+ * their tasks go on. What the machines report and what the node writes arrives late in the first
+ * round and never in the second, in which a node that took over restarts as well. */
 static void
-zone_cut (void)
+zone_partition (void)
 {
   SimOptions o = default_options;
   o.zones = 2;
@@ -47,26 +50,27 @@
   submit_jobs (40, 20);
   sim_run (30);
   for (guint k = 0; k < 2; k++) {
-    cut_zone (0, "z0", k ? SIM_LINK_DROP : SIM_LINK_HOLD);
+    set_zone_links (0, "z0", k ? SIM_LINK_DROP : SIM_LINK_HOLD);
     sim_run (k ? 40 : 25);
     if (k)
-      crash_and_restart (1, 0.3); /* who took the part over ends meanwhile */
-    cut_zone (0, "z0", SIM_LINK_UP);
+      crash_and_restart (1, 0.3); /* the node that took the shard over */
+    set_zone_links (0, "z0", SIM_LINK_UP);
     sim_run (5);
   }
   finish_and_check (400);
 }
 
 static void
-test_zone_cut (void)
+test_zone_partition (void)
 {
-  with_seeds (zone_cut);
+  with_seeds (zone_partition);
 }
 
-/* Jobs of two or three tasks whose ends lie far apart, across owners that come and go; some of what
- * they write is carried out seconds later, after newer writes. */
+/* Jobs of two or three tasks, whose run times differ so much that tasks of one job end under
+ * different owners. The owners crash and restart, and some of their commits are executed seconds
+ * late, after newer ones. */
 static void
-ends_straddle (void)
+ends_under_different_owners (void)
 {
   SimOptions o = default_options;
   o.run_time_jitter = 0.9;
@@ -88,13 +92,14 @@
 }
 
 static void
-test_ends_straddle (void)
+test_ends_under_different_owners (void)
 {
-  with_seeds (ends_straddle);
+  with_seeds (ends_under_different_owners);
 }
 
-/* Writes without an answer are carried out after newer ones of the same node (accepts, progress,
- * ends, records, moves, owner keys, cancellations), while nodes are cut off and restart. */
+/* Commits that got no response are executed after newer commits of the same node (accepted jobs,
+ * progress, ended jobs, machine records, moves, owner keys, cancellations), while nodes lose their
+ * link to the state service and restart. */
 static void
 late_writes (void)
 {
@@ -124,10 +129,11 @@
   with_seeds (late_writes);
 }
 
-/* Jobs bound to one zone, and jobs spread over two, lose machines: some die, some stand still, some
- * hear nothing while their owner changes, and cannot be asked by the next one. */
+/* Jobs bound to one zone and jobs spread over two zones lose machines: some machines die, some are
+ * paused, and some receive nothing while their owner changes, so that the next owner cannot reach
+ * them either. */
 static void
-placed_jobs (void)
+placement_constraints (void)
 {
   SimOptions o = default_options;
   o.zones = 2;
@@ -164,14 +170,15 @@
 }
 
 static void
-test_placed_jobs (void)
+test_placement_constraints (void)
 {
-  with_seeds (placed_jobs);
+  with_seeds (placement_constraints);
 }
 
-/* A part changes hands ten times in two minutes, twice inside an outage of the state service. */
+/* The owner of a shard changes ten times in two minutes, twice during an outage of the state
+ * service. */
 static void
-ten_owners (void)
+ten_owner_changes (void)
 {
   SimOptions o = default_options;
   o.duplicate_reports = 0.2;
@@ -194,15 +201,15 @@
 }
 
 static void
-test_ten_owners (void)
+test_ten_owner_changes (void)
 {
-  with_seeds (ten_owners);
+  with_seeds (ten_owner_changes);
 }
 
-/* A team at its limit: its owner changes while some of its machines cannot be asked, and a job of
- * it is cancelled just then. */
+/* A team has used up its quota. The owner of its shard changes while some of the team's machines
+ * are unreachable, and one of the team's jobs is cancelled at that time. */
 static void
-limit_at_handover (void)
+quota_at_takeover (void)
 {
   SimOptions o = default_options;
   o.team_limit = 24;
@@ -213,7 +220,7 @@
   sim_run (40);
   for (guint i = 0; i < 3; i++) {
     g_auto (GStrv) all = sim_machine_names (NULL);
-    hang (all, 2, TRUE);
+    pause_machines (all, 2, TRUE);
     if (all[0] && all[1] && all[2])
       set_links_to_machine (all[2], SIM_LINK_DROP);
     sim_node_kill (i);
@@ -223,7 +230,7 @@
     sim_run (7);
     sim_node_start (i);
     sim_run (3);
-    hang (all, 2, FALSE);
+    pause_machines (all, 2, FALSE);
     if (all[0] && all[1] && all[2])
       set_links_to_machine (all[2], SIM_LINK_UP);
     sim_run (12);
@@ -232,15 +239,15 @@
 }
 
 static void
-test_limit_at_handover (void)
+test_quota_at_takeover (void)
 {
-  with_seeds (limit_at_handover);
+  with_seeds (quota_at_takeover);
 }
 
-/* The owner ends while machines with long tasks cannot be reached, stand still, hear nothing or
- * open no connections, within their leases and beyond. */
+/* The owner crashes while machines with long tasks are unreachable, paused, receive nothing or send
+ * no reports, for less than their leases and for longer. */
 static void
-unreached_at_handover (void)
+unreachable_at_takeover (void)
 {
   SimOptions o = default_options;
   o.run_time_jitter = 0.3;
@@ -273,15 +280,15 @@
 }
 
 static void
-test_unreached_at_handover (void)
+test_unreachable_at_takeover (void)
 {
-  with_seeds (unreached_at_handover);
+  with_seeds (unreachable_at_takeover);
 }
 
-/* A machine stands still for seconds when it is given work or told to stop it, and goes on: a late
- * command or an old answer starts nothing twice. */
+/* Machines are paused for 1 to 13 s while they are told to start or to kill tasks, and then resume.
+ * A late command or an old response must not start a task twice. */
 static void
-held_commands (void)
+commands_to_paused_machines (void)
 {
   SimOptions o = default_options;
   o.run_time_jitter = 0.5;
@@ -290,25 +297,25 @@
   for (guint i = 0; i < 14; i++) {
     sim_run (5);
     g_auto (GStrv) all = sim_machine_names (NULL);
-    hang (all, 3, TRUE);
+    pause_machines (all, 3, TRUE);
     if (i == 6)
       sim_cancel ("wk-000002");
     sim_run (1 + i % 7 * 2);
-    hang (all, 3, FALSE);
+    pause_machines (all, 3, FALSE);
   }
   finish_and_check (400);
 }
 
 static void
-test_held_commands (void)
+test_commands_to_paused_machines (void)
 {
-  with_seeds (held_commands);
+  with_seeds (commands_to_paused_machines);
 }
 
-/* A cancellation meets the end of the job's last task: its user hears cancelled or done, one of
- * them, from then on from every node. */
+/* A job is cancelled at about the time at which its last task ends. Its user is told either
+ * cancelled or done, and every node says the same from then on. */
 static void
-cancel_at_end (void)
+cancel_at_job_end (void)
 {
   start_cluster (&default_options);
   for (guint i = 0; i < 40; i++) {
@@ -319,11 +326,11 @@
     sim_run (0.05);
   for (guint i = 0; i < 40; i++) {
     g_autofree char *id = g_strdup_printf ("wk-0003%02u", i);
-    double begun = sim_time_to_first_task (id);
-    /* From before its end to after that is durable. */
-    while (begun < 0 || sim_now () < 3 + begun + 4.8 + 0.02 * i) {
+    double started_at = sim_time_to_first_task (id);
+    /* The first cancellations come before the task ends, the last ones after its end is durable. */
+    while (started_at < 0 || sim_now () < 3 + started_at + 4.8 + 0.02 * i) {
       sim_run (0.02);
-      begun = sim_time_to_first_task (id);
+      started_at = sim_time_to_first_task (id);
     }
     sim_cancel (id);
   }
@@ -338,15 +345,16 @@
 }
 
 static void
-test_cancel_at_end (void)
+test_cancel_at_job_end (void)
 {
-  with_seeds (cancel_at_end);
+  with_seeds (cancel_at_job_end);
 }
 
-/* Half of the machines open no connections: their leases run out, their tasks start elsewhere once
- * that is sure, also across a change of owner, who reaches them by direct commands. */
+/* Half of the machines stop sending reports, and their leases expire. Their tasks start on other
+ * machines once the leases have certainly expired, also when the owner changes: the new owner
+ * reaches the machines by direct commands. */
 static void
-mute_machines (void)
+machines_stop_reporting (void)
 {
   SimOptions o = default_options;
   o.run_time_jitter = 0.3;
@@ -371,15 +379,16 @@
 }
 
 static void
-test_mute_machines (void)
+test_machines_stop_reporting (void)
 {
-  with_seeds (mute_machines);
+  with_seeds (machines_stop_reporting);
 }
 
-/* A controller stands still for up to a minute and more, its clocks run on. The others take over;
- * when it goes on it neither answers nor commands from what it knew. */
+/* A controller's process stalls for 7 or 70 s while its clocks run on, and the other nodes take its
+ * shards over. When the process resumes, the controller must neither answer requests nor send
+ * commands from its old state. */
 static void
-node_hangs (void)
+process_stall (void)
 {
   SimOptions o = default_options;
   o.run_time_jitter = 0.4;
@@ -403,18 +412,19 @@
 }
 
 static void
-test_node_hangs (void)
+test_process_stall (void)
 {
-  with_seeds (node_hangs);
+  with_seeds (process_stall);
 }
 
-/* Two machines of eight fail what they start. The job on them is sound: it must not wait for its
- * first try to end, minutes later, while the others have room. */
+/* Two of eight machines fail every task that they start. The job itself is healthy: it must not be
+ * held back until its first attempts elsewhere end, minutes later, while the other machines have
+ * room. */
 static void
-sound_job (void)
+healthy_job_on_faulty_machines (void)
 {
   start_cluster (&default_options);
-  sim_submit ("wk-000002", "team0", "normal", 8, 8, 25, 600); /* brings the machines up */
+  sim_submit ("wk-000002", "team0", "normal", 8, 8, 25, 600); /* gets all eight machines rented */
   sim_run (30);
   g_auto (GStrv) all = sim_machine_names (NULL);
   g_assert_cmpuint (g_strv_length (all), ==, 8);
@@ -429,16 +439,17 @@
 }
 
 static void
-test_sound_job (void)
+test_healthy_job_on_faulty_machines (void)
 {
-  with_seeds (sound_job);
+  with_seeds (healthy_job_on_faulty_machines);
 }
 
-/* One machine is full for long. On the other all that starts fails, or it hears nothing, for
- * minutes; right after a further try that is over. What waits begins within 90 s, whatever pauses
- * the failures had earned. */
+/* With `full`, one of two machines is full for a long time; otherwise both have a little room. For
+ * minutes every task of the second job fails or, with `unreachable`, the less busy machine receives
+ * nothing. The fault ends right after a further attempt. Waiting tasks must then start within 90 s,
+ * however long the backoff has become, which the rule checker checks. */
 static void
-well_again (gboolean deaf, gboolean full)
+start_after_recovery (gboolean unreachable, gboolean full)
 {
   SimOptions o = default_options;
   o.max_machines = 2;
@@ -446,10 +457,10 @@
   sim_submit ("wk-000002", "team0", "normal", full ? 12 : 2, full ? 1 : 5, 900, 2000);
   sim_run (40);
   sim_submit ("wk-000001", "team0", "normal", 40, 1, 30, 600);
-  sim_job_fail_tasks ("wk-000001", !deaf);
+  sim_job_fail_tasks ("wk-000001", !unreachable);
   sim_run (2);
   g_autofree char *m = g_strdup (sim_least_busy_machine ());
-  if (deaf)
+  if (unreachable)
     set_links_to_machine (m, SIM_LINK_DROP);
   sim_run (250);
   guint before = sim_tasks_started () + sim_runs_lost (NULL);
@@ -465,30 +476,31 @@
 }
 
 static void
-mistaken_and_well (void)
+start_after_failing_tasks (void)
 {
-  well_again (FALSE, FALSE);
-  well_again (FALSE, TRUE);
+  start_after_recovery (FALSE, FALSE);
+  start_after_recovery (FALSE, TRUE);
 }
 
 static void
-deaf_and_well (void)
+start_after_unreachable_machine (void)
 {
-  well_again (TRUE, TRUE);
+  start_after_recovery (TRUE, TRUE);
 }
 
 static void
-test_well_again (void)
+test_start_after_recovery (void)
 {
-  with_seeds (mistaken_and_well);
-  with_seeds (deaf_and_well);
+  with_seeds (start_after_failing_tasks);
+  with_seeds (start_after_unreachable_machine);
 }
 
-/* An owner says that a job is cancelled, its kills do not reach one machine, and it stands still.
- * Its successor uses the machine for other work. Going on, it must not take that for the silent
- * holder of a cancelled task, and it is not ready before it has caught up. */
+/* An owner confirms a cancellation, its kill commands do not reach one machine, and then its
+ * process stalls. The next owner uses the machine for other work. When the first owner resumes, it
+ * must not delete the machine as an unreachable one with a cancelled task, and it must not be ready
+ * before it has caught up with the state service. */
 static void
-wakes_up (void)
+owner_resumes_after_stall (void)
 {
   start_cluster (&default_options);
   sim_submit ("wk-000001", "team0", "normal", 32, 1, 400, 900);
@@ -517,13 +529,13 @@
 }
 
 static void
-test_wakes_up (void)
+test_owner_resumes_after_stall (void)
 {
-  with_seeds (wakes_up);
+  with_seeds (owner_resumes_after_stall);
 }
 
-/* Many ask about one job at the same moment: they share reads, each of which began after those had
- * come that it answers. */
+/* Many users poll one job at the same time. The polls share reads of the state service, and each
+ * read starts after the polls that it answers have arrived. */
 static void
 test_shared_polls (void)
 {
@@ -535,10 +547,10 @@
     sim_request_async (1, "GET", "/api/jobs/wk-000001", NULL);
   sim_run (1);
   g_assert_cmpuint (sim_response_count (200), ==, 300);
-  g_assert_cmpuint (sim_state_request_count () - before, <,
-                    30); /* renewals, records and two reads */
+  /* Lease renewals, machine records and two reads. */
+  g_assert_cmpuint (sim_state_request_count () - before, <, 30);
   sim_cancel_at ("wk-000001", 2);
-  for (guint i = 0; i < 300; i++) { /* while it is cancelled, and once it is over */
+  for (guint i = 0; i < 300; i++) { /* during the cancellation and after it */
     sim_request_async (1, "GET", "/api/jobs/wk-000001", NULL);
     sim_run (0.001);
   }
@@ -548,10 +560,10 @@
   finish_and_check (30);
 }
 
-/* Users ask about hundreds of jobs many times a second. What is beyond gets 429 at once, and what
- * changes jobs does not wait behind it. */
+/* Users poll hundreds of jobs many times a second. Polls beyond the limit get 429 at once, and
+ * requests that change jobs do not wait behind the polls. */
 static void
-test_poll_storm (void)
+test_poll_overload (void)
 {
   start_cluster (&default_options);
   for (guint i = 0; i < 10000; i++) {
@@ -563,10 +575,10 @@
       g_autofree char *id = g_strdup_printf ("\"wk-%u\"", i);
       g_autofree char *body = job_json_with ("Id", id);
       g_autofree char *abort = g_strdup_printf ("/api/jobs/wk-%u/abort", i);
-      double asked = sim_now ();
+      double sent_at = sim_now ();
       g_assert_cmpuint (sim_request (0, "POST", "/api/jobs", body), ==, 201);
       g_assert_cmpuint (sim_request (0, "POST", abort, NULL), ==, 200);
-      g_assert_cmpfloat (sim_now () - asked, <, 1);
+      g_assert_cmpfloat (sim_now () - sent_at, <, 1);
     }
   }
   sim_run (5);
@@ -577,16 +589,16 @@
   sim_stop ();
 }
 
-/* A crowd asks about many jobs all the time, so that each poll is answered from the shared view,
- * while jobs come, end and are cancelled and nodes and the state service have troubles: no user
- * hears an older answer than before. */
+/* Many users poll many jobs all the time, so that each poll is answered from the shared job view,
+ * while jobs are submitted, end and are cancelled, nodes restart and the state service fails. No
+ * user may get an older state than in an earlier answer. */
 static void
-crowd (void)
+polls_during_faults (void)
 {
   SimOptions o = default_options;
   o.run_time_jitter = 0.8;
   start_cluster (&o);
-  guint requests = 0, asked = 0;
+  guint requests_before = 0, requests = 0;
   for (guint i = 0; i < 90; i++) {
     g_autofree char *id = g_strdup_printf ("wk-0005%02u", i);
     g_autofree char *team = g_strdup_printf ("team%u", i % 3);
@@ -597,12 +609,12 @@
   for (guint i = 0; i < 3000; i++) {
     g_autofree char *path = g_strdup_printf ("/api/jobs/wk-0005%02u", (i * 37) % 90);
     if (i == 200)
-      requests = sim_state_request_count ();
+      requests_before = sim_state_request_count ();
     sim_request_async (i % 3, "GET", path, NULL);
     if (i % 4 == 3)
       sim_run (0.03);
     if (i == 600)
-      asked = sim_state_request_count () - requests;
+      requests = sim_state_request_count () - requests_before;
     if (i % 100 == 50) {
       g_autofree char *id = g_strdup_printf ("wk-0005%02u", 20 + i / 100);
       sim_cancel (id);
@@ -626,21 +638,23 @@
   sim_delay_commits (0);
   sim_state_delay (0);
   g_assert_cmpuint (sim_response_count (200), >, 1500);
-  g_test_message ("%u requests", asked);
-  g_assert_cmpuint (asked, <, 280); /* of 400 polls and all else; 320 and more without sharing */
+  g_test_message ("%u requests to the state service", requests);
+  /* For 400 polls and everything else; without shared reads there are 320 requests and more. */
+  g_assert_cmpuint (requests, <, 280);
   finish_and_check (300);
 }
 
-/* A request that polls share was carried out, its answer is on its way, and through another node a
- * user is told that the job is cancelled. Asking then, the user must not get the answer from
- * before. */
+/* The state service has executed a read that polls share, and the response is still on its way when
+ * a user is told through another node that the job is cancelled. A poll that the user sends after
+ * that must not be answered from the earlier read. */
 static void
-crowd_after_news (void)
+poll_after_cancellation (void)
 {
   start_cluster (&default_options);
   sim_submit ("wk-000001", "team0", "normal", 4, 1, 500, 900);
   sim_run (30);
-  for (guint k = 0; k < 2; k++) { /* the first time the view is read, the second its changes */
+  /* In the first round the node lists the jobs for its view, in the second it reads the changes. */
+  for (guint k = 0; k < 2; k++) {
     for (guint i = 0; i < 12; i++) {
       g_autofree char *path = g_strdup_printf ("/api/jobs/wk-%u", 700000 + i);
       sim_request_async (1, "GET", path, NULL);
@@ -660,16 +674,17 @@
 }
 
 static void
-test_crowd (void)
+test_polls_during_faults (void)
 {
-  crowd_after_news ();
-  with_seeds (crowd);
+  poll_after_cancellation ();
+  with_seeds (polls_during_faults);
 }
 
-/* The owner of a part loses the state service alone while machines are coming up: those that report
- * to it first are not its to use, and must find its successor instead of staying idle with it. */
+/* The owner of a shard loses only its link to the state service while machines boot. It must not
+ * use the machines that send it their first report: they must find the next owner instead of
+ * staying idle with the former one. */
 static void
-boots_at_former_owner (void)
+machines_boot_at_former_owner (void)
 {
   start_cluster (&default_options);
   sim_submit ("wk-000001", "team0", "normal", 64, 1, 200, 400);
@@ -683,13 +698,13 @@
 }
 
 static void
-test_boots_at_former_owner (void)
+test_machines_boot_at_former_owner (void)
 {
-  with_seeds (boots_at_former_owner);
+  with_seeds (machines_boot_at_former_owner);
 }
 
 static gboolean
-accepted_all (void)
+all_accepted (void)
 {
   for (guint i = 0; i < 3; i++) {
     g_autofree char *id = g_strdup_printf ("wk-00001%u", i);
@@ -699,16 +714,16 @@
   return TRUE;
 }
 
-/* A node, the owner of a part and maybe the leader, loses the state service alone: it still reaches
- * its peers. What it believes of its former part counts no more, and two leaders do not rent for
- * the same work. */
+/* A node that owns a shard, and may be the leader, loses only its link to the state service: it
+ * still reaches its peers. What it knows of its former shard no longer counts, and two leaders must
+ * not rent machines for the same work. */
 static void
 former_owner_and_leader (guint node)
 {
   SimOptions o = default_options;
   o.max_machines = 60;
   start_cluster (&o);
-  submit_jobs (32, 150); /* 4, 4 and 8 machines */
+  submit_jobs (32, 150); /* for 4, 4 and 8 machines */
   sim_run (40);
   g_assert_cmpuint (sim_tasks_running (NULL), ==, 96);
   guint before = sim_machine_count ();
@@ -721,14 +736,14 @@
     g_autofree char *team = g_strdup_printf ("team%u", i);
     sim_submit (id, team, "normal", 32, 1, 150, 600);
   }
-  /* Submissions to the node that is cut off come late: our users do not look at /ready, and may
-   * choose it again and again. */
-  for (guint i = 0; i < 60 && !accepted_all (); i++)
+  /* Submissions to the node without the state service are accepted late: the simulated users do not
+   * check /ready and may choose this node again and again. */
+  for (guint i = 0; i < 60 && !all_accepted (); i++)
     sim_run (1);
   sim_run (30);
   g_assert_cmpuint (sim_tasks_running (NULL), ==, 192);
-  g_assert_cmpuint (sim_machine_count (), <=,
-                    before + 12 + 4); /* the work, and a few in part used */
+  /* 12 more for the new jobs, and a few that are partly used. */
+  g_assert_cmpuint (sim_machine_count (), <=, before + 12 + 4);
   sim_set_link_both (node_name (node), "state", SIM_LINK_UP);
   finish_and_check (600);
 }
@@ -740,10 +755,10 @@
     former_owner_and_leader (i);
 }
 
-/* A guest's array is far from its goal and asks for little. Machines that another team needs no
- * more are paid for: they serve it before they go back. */
+/* An array job of priority idle has a distant deadline, so its demand is small. Machines that
+ * another team no longer needs are paid for: they must run this job before they are returned. */
 static void
-paid_machines_serve_all (void)
+surplus_machines_serve_other_teams (void)
 {
   start_cluster (&default_options);
   sim_submit ("wk-000001", "team0", "normal", 64, 1, 20, 600);
@@ -757,14 +772,14 @@
 }
 
 static void
-test_paid_machines_serve_all (void)
+test_surplus_machines_serve_other_teams (void)
 {
-  with_seeds (paid_machines_serve_all);
+  with_seeds (surplus_machines_serve_other_teams);
 }
 
-/* Three machines, six teams, two of them in each part. In one part a stream of urgent jobs that
- * never ends competes with normal ones that came before: those begin all the same, each of them and
- * the largest too. */
+/* Three machines and six teams, two in each shard. In one shard an endless stream of urgent jobs
+ * competes with normal jobs that were submitted earlier. Each of the normal jobs must start all the
+ * same, the largest one too. */
 static void
 few_machines (void)
 {
@@ -794,10 +809,10 @@
   finish_and_check (3000);
 }
 
-/* One machine, and urgent jobs come over twice as fast as it can serve them, so that all wait long
- * for their first task: a normal one has its turn among them by its age. */
+/* One machine, and urgent jobs are submitted more than twice as fast as it can run them, so that
+ * all jobs wait long for their first task. A normal job must get its turn among them by its age. */
 static void
-oldest_first (void)
+oldest_job_first (void)
 {
   SimOptions o = default_options;
   o.teams = 6;
@@ -821,13 +836,14 @@
 test_few_machines (void)
 {
   with_seeds (few_machines);
-  with_seeds (oldest_first);
+  with_seeds (oldest_job_first);
 }
 
-/* A part's owner is back at once. One of its machines reports to it, but hears nothing, and maybe
- * falls silent right after: the part, with all its other machines, does not wait for that one. */
+/* The owner of a shard restarts at once. One of its machines sends reports but receives nothing, so
+ * that it cannot be fenced, and may stop reporting soon after. The shard with all its other
+ * machines must not wait for this machine. */
 static void
-heard_but_not_fenced (gboolean silent)
+reporting_but_not_fenced (gboolean stops_reporting)
 {
   start_cluster (&default_options);
   sim_submit ("wk-000001", "team0", "normal", 300, 1, 15, 2000);
@@ -835,8 +851,8 @@
   g_autofree char *m = g_strdup (sim_busiest_machine ());
   set_links_to_machine (m, SIM_LINK_DROP);
   crash_and_restart (0, 0.3);
-  sim_run (6); /* it has tried all nodes by then */
-  if (silent)
+  sim_run (6); /* the machine has tried all nodes by then */
+  if (stops_reporting)
     set_machine_links (m, SIM_LINK_DROP);
   sim_run (16);
   sim_submit ("wk-000002", "team0", "urgent", 8, 1, 5, 60);
@@ -847,28 +863,28 @@
 }
 
 static void
-heard_and_silent (void)
+unfenced_machine_stops_reporting (void)
 {
-  heard_but_not_fenced (TRUE);
+  reporting_but_not_fenced (TRUE);
 }
 
 static void
-heard_and_deaf (void)
+unfenced_machine_keeps_reporting (void)
 {
-  heard_but_not_fenced (FALSE);
+  reporting_but_not_fenced (FALSE);
 }
 
 static void
-test_heard_but_not_fenced (void)
+test_reporting_but_not_fenced (void)
 {
-  with_seeds (heard_and_silent);
-  with_seeds (heard_and_deaf);
+  with_seeds (unfenced_machine_stops_reporting);
+  with_seeds (unfenced_machine_keeps_reporting);
 }
 
-/* Hundreds of one-task jobs of one team: their ends are written by one owner, whose fixed part of
- * the state service's few changes a second would take minutes for them. */
+/* Hundreds of one-task jobs of one team: one owner has to write all their ends. With only its fixed
+ * share of the few writes a second that the state service allows, this would take minutes. */
 static void
-test_swarm (void)
+test_many_one_task_jobs (void)
 {
   SimOptions o = default_options;
   o.nodes = 7;
@@ -884,10 +900,10 @@
   finish_and_check (0);
 }
 
-/* The first machines never come up. Soon after the usual time others are rented in their place, and
- * they go back. */
+/* The first machines never finish booting. Soon after the usual boot time others must be rented in
+ * their place, and the first ones must be returned. */
 static void
-never_up (void)
+machines_never_boot (void)
 {
   SimOptions o = default_options;
   o.max_machines = 40;
@@ -906,13 +922,14 @@
 }
 
 static void
-test_never_up (void)
+test_machines_never_boot (void)
 {
-  with_seeds (never_up);
+  with_seeds (machines_never_boot);
 }
 
-/* A guest's array of more tasks than one value's done set holds, beside an urgent job: within the
- * limits of values and transactions, across a crash, and gone at once when it is cancelled. */
+/* Array jobs of priority idle with more tasks than the done set in one stored value holds, beside
+ * an urgent job. They must stay within the size limits of values and transactions, survive a crash
+ * of their owner, and be gone at once when they are cancelled. */
 static void
 test_huge_array (void)
 {
@@ -940,26 +957,28 @@
   finish_and_check (60);
 }
 
-/* A job fails wherever it runs until its user cancels it, from the first machine on, while another
- * machine is faulty. The job is held back, other work goes on, only the faulty machine goes. */
+/* A job fails on every machine, from the first one on, until its user cancels it; meanwhile one
+ * machine is faulty. The job must be held back, other jobs must go on, and only the faulty machine
+ * may be returned. */
 static void
-mistaken_job (void)
+failing_job (void)
 {
   SimOptions o = default_options;
   o.max_machines = 5;
   start_cluster (&o);
-  sim_submit ("wk-000001", "team0", "urgent", 200, 1, 20, 1); /* late at once: it would lead */
+  /* Its deadline passes at once, so that this job would rank first. */
+  sim_submit ("wk-000001", "team0", "urgent", 200, 1, 20, 1);
   sim_job_fail_tasks ("wk-000001", TRUE);
   sim_submit ("wk-000002", "team0", "normal", 200, 1, 20, 600);
   sim_submit ("wk-000003", "team0", "normal", 200, 1, 20, 600);
   sim_run (30);
-  g_autofree char *sick = g_strdup (sim_busiest_machine ());
+  g_autofree char *faulty = g_strdup (sim_busiest_machine ());
   g_auto (GStrv) all = sim_machine_names (NULL);
-  sim_machine_fail_tasks (sick, TRUE);
+  sim_machine_fail_tasks (faulty, TRUE);
   sim_run (30);
-  g_assert_false (sim_machine_alive (sick));
+  g_assert_false (sim_machine_alive (faulty));
   for (char **m = all; *m; m++)
-    g_assert_true (g_str_equal (*m, sick) || sim_machine_alive (*m));
+    g_assert_true (g_str_equal (*m, faulty) || sim_machine_alive (*m));
   sim_run (250);
   g_assert_cmpstr (sim_reported_state ("wk-000002"), ==, "done");
   g_assert_cmpstr (sim_reported_state ("wk-000003"), ==, "done");
@@ -971,57 +990,57 @@
 }
 
 static void
-test_mistaken_job (void)
+test_failing_job (void)
 {
-  with_seeds (mistaken_job);
+  with_seeds (failing_job);
 }
 
-/* What troubles a round of `everything` brings, as bits. */
+/* The kinds of faults that a round of random_faults() may inject, as bits. */
 enum {
-  LATE_WRITES = 1 << 0,
-  NO_STATE = 1 << 1,
-  NO_PEER = 1 << 2,
-  REFUSED = 1 << 3,
-  NODE_HANGS = 1 << 4,
-  MACHINES_HANG = 1 << 5,
-  MACHINES_MUTE = 1 << 6,
-  MACHINES_CUT = 1 << 7,
-  MACHINES_DEAF = 1 << 8,
-  OUTAGE = 1 << 9,
-  TROUBLES = 10
+  FAULT_DELAYED_COMMITS = 1 << 0,
+  FAULT_STATE_LINK = 1 << 1,
+  FAULT_PEER_LINK = 1 << 2,
+  FAULT_STATE_REFUSES_NODE = 1 << 3,
+  FAULT_NODE_PAUSED = 1 << 4,
+  FAULT_MACHINES_PAUSED = 1 << 5,
+  FAULT_MACHINES_NO_REPORTS = 1 << 6,
+  FAULT_MACHINES_PARTITIONED = 1 << 7,
+  FAULT_MACHINES_UNREACHABLE = 1 << 8,
+  FAULT_STATE_OUTAGE = 1 << 9,
+  FAULT_KINDS = 10
 };
 
 static void
-trouble_machine (const char *machine, guint troubles, SimLinkState how)
+inject_machine_faults (const char *machine, guint faults, SimLinkState link_state)
 {
-  if (troubles & MACHINES_HANG)
+  if (faults & FAULT_MACHINES_PAUSED)
     sim_machine_pause (machine, TRUE);
-  if (troubles & MACHINES_MUTE)
+  if (faults & FAULT_MACHINES_NO_REPORTS)
     sim_machine_stop_reports (machine, TRUE);
-  if (troubles & MACHINES_CUT)
-    set_machine_links (machine, how);
-  if (troubles & MACHINES_DEAF)
-    set_links_to_machine (machine, how);
+  if (faults & FAULT_MACHINES_PARTITIONED)
+    set_machine_links (machine, link_state);
+  if (faults & FAULT_MACHINES_UNREACHABLE)
+    set_links_to_machine (machine, link_state);
 }
 
-/* To nodes a and b. */
+/* Injects the faults that concern nodes, into nodes a and b. */
 static void
-trouble_nodes (guint a, guint b, guint troubles, SimLinkState how)
+inject_node_faults (guint a, guint b, guint faults, SimLinkState link_state)
 {
-  if (troubles & LATE_WRITES)
+  if (faults & FAULT_DELAYED_COMMITS)
     sim_delay_commits (0.3);
-  if (troubles & NO_STATE)
-    sim_set_link_both (node_name (a), "state", how);
-  if (troubles & NO_PEER)
-    sim_set_link_both (node_name (a), node_name (b), how);
-  if (troubles & REFUSED)
+  if (faults & FAULT_STATE_LINK)
+    sim_set_link_both (node_name (a), "state", link_state);
+  if (faults & FAULT_PEER_LINK)
+    sim_set_link_both (node_name (a), node_name (b), link_state);
+  if (faults & FAULT_STATE_REFUSES_NODE)
     sim_state_refuse_node (b, TRUE);
-  if (troubles & NODE_HANGS)
+  if (faults & FAULT_NODE_PAUSED)
     sim_node_pause (b, TRUE);
 }
 
 static void
-end_troubles (guint a, guint b, char **machines)
+clear_faults (guint a, guint b, char **machines)
 {
   sim_delay_commits (0);
   sim_set_link_both (node_name (a), "state", SIM_LINK_UP);
@@ -1036,23 +1055,23 @@
 }
 
 static void
-trouble_round (GRand *r, guint i)
+run_fault_round (GRand *r, guint i)
 {
   guint a = (guint) g_rand_int_range (r, 0, 3), b = (a + 1) % 3;
   g_auto (GStrv) all = sim_machine_names (NULL);
   guint n = g_strv_length (all), first = n ? (guint) g_rand_int_range (r, 0, (gint) n) : 0;
-  SimLinkState how = g_rand_boolean (r) ? SIM_LINK_HOLD : SIM_LINK_DROP;
-  guint troubles = 0;
+  SimLinkState link_state = g_rand_boolean (r) ? SIM_LINK_HOLD : SIM_LINK_DROP;
+  guint faults = 0;
   for (guint k = 0; k < 3; k++)
-    troubles |= 1u << g_rand_int_range (r, 0, TROUBLES);
-  trouble_nodes (a, b, troubles, how);
+    faults |= 1u << g_rand_int_range (r, 0, FAULT_KINDS);
+  inject_node_faults (a, b, faults, link_state);
   for (guint k = first; k < n && k < first + 3; k++)
-    trouble_machine (all[k], troubles, how);
+    inject_machine_faults (all[k], faults, link_state);
   if (i % 4 == 0) {
     g_autofree char *id = g_strdup_printf ("wk-0004%02u", i / 4);
     sim_cancel (id);
   }
-  if (troubles & OUTAGE) {
+  if (faults & FAULT_STATE_OUTAGE) {
     sim_state_outage (TRUE);
     sim_run (g_rand_double_range (r, 1, 30));
     sim_state_outage (FALSE);
@@ -1060,13 +1079,14 @@
   sim_run (g_rand_double_range (r, 0.5, 15));
   if (g_rand_boolean (r))
     crash_and_restart (a, g_rand_boolean (r) ? 0.2 : g_rand_double_range (r, 1, 9));
-  end_troubles (a, b, all);
+  clear_faults (a, b, all);
   sim_run (g_rand_double_range (r, 0, 8));
 }
 
-/* Every trouble there is, drawn at random, several at a time. */
+/* All kinds of faults above, drawn at random, up to three kinds at a time, with crashes and
+ * cancellations. */
 static void
-everything (void)
+random_faults (void)
 {
   g_autoptr (GRand) r = g_rand_new_with_seed (seed);
   SimOptions o = default_options;
@@ -1085,23 +1105,23 @@
   }
   sim_run (15);
   for (guint i = 0; i < 20; i++) {
-    trouble_round (r, i);
+    run_fault_round (r, i);
     g_assert_cmpstr (sim_violations (), ==, "");
   }
   finish_and_check (900);
 }
 
 static void
-test_everything (void)
+test_random_faults (void)
 {
-  with_seeds (everything);
+  with_seeds (random_faults);
 }
 
-/* A part changes hands while a machine hangs and the cloud is out: the machine can neither be
- * fenced nor deleted. Its lease is over long before the cloud is back, and users must learn of
- * their jobs. */
+/* A shard is taken over while a machine is paused and the cloud has an outage, so that the machine
+ * can be neither fenced nor deleted. Its lease expires long before the cloud is back, and users
+ * must be told the state of their jobs without waiting for the cloud. */
 static void
-cloud_out_at_handover (void)
+cloud_outage_at_takeover (void)
 {
   SimOptions o = default_options;
   start_cluster (&o);
@@ -1112,9 +1132,9 @@
   g_assert_nonnull (machine);
   sim_machine_pause (machine, TRUE);
   sim_run (1);
-  crash_and_restart (0, 9); /* another one takes the part over */
+  crash_and_restart (0, 9); /* another node takes the shard over */
   sim_cancel ("wk-000001");
-  sim_run (60); /* five times the lease */
+  sim_run (60); /* five times the worker's lease */
   g_assert_cmpstr (sim_reported_state ("wk-000001"), ==, "cancelled");
   sim_cloud_outage (FALSE);
   sim_machine_pause (machine, FALSE);
@@ -1122,42 +1142,47 @@
 }
 
 static void
-test_cloud_out_at_handover (void)
+test_cloud_outage_at_takeover (void)
 {
-  with_seeds (cloud_out_at_handover);
+  with_seeds (cloud_outage_at_takeover);
 }
 
 int
 main (int argc, char **argv)
 {
   fixture_init (&argc, &argv);
-  g_test_add_func ("/meetings/zone-cut", test_zone_cut);
-  g_test_add_func ("/meetings/ends-straddle", test_ends_straddle);
-  g_test_add_func ("/meetings/late-writes", test_late_writes);
-  g_test_add_func ("/meetings/placed-jobs", test_placed_jobs);
-  g_test_add_func ("/meetings/ten-owners", test_ten_owners);
-  g_test_add_func ("/meetings/limit-at-handover", test_limit_at_handover);
-  g_test_add_func ("/meetings/unreached-at-handover", test_unreached_at_handover);
-  g_test_add_func ("/meetings/held-commands", test_held_commands);
-  g_test_add_func ("/meetings/cancel-at-end", test_cancel_at_end);
-  g_test_add_func ("/meetings/mute-machines", test_mute_machines);
-  g_test_add_func ("/meetings/node-hangs", test_node_hangs);
-  g_test_add_func ("/meetings/sound-job", test_sound_job);
-  g_test_add_func ("/meetings/well-again", test_well_again);
-  g_test_add_func ("/meetings/wakes-up", test_wakes_up);
-  g_test_add_func ("/meetings/shared-polls", test_shared_polls);
-  g_test_add_func ("/meetings/poll-storm", test_poll_storm);
-  g_test_add_func ("/meetings/crowd", test_crowd);
-  g_test_add_func ("/meetings/boots-at-former-owner", test_boots_at_former_owner);
-  g_test_add_func ("/meetings/former-owner-and-leader", test_former_owner_and_leader);
-  g_test_add_func ("/meetings/paid-machines-serve-all", test_paid_machines_serve_all);
-  g_test_add_func ("/meetings/few-machines", test_few_machines);
-  g_test_add_func ("/meetings/heard-but-not-fenced", test_heard_but_not_fenced);
-  g_test_add_func ("/meetings/swarm", test_swarm);
-  g_test_add_func ("/meetings/never-up", test_never_up);
-  g_test_add_func ("/meetings/huge-array", test_huge_array);
-  g_test_add_func ("/meetings/mistaken-job", test_mistaken_job);
-  g_test_add_func ("/meetings/everything", test_everything);
-  g_test_add_func ("/meetings/cloud-out-at-handover", test_cloud_out_at_handover);
+  g_test_add_func ("/combined-faults/zone-partition", test_zone_partition);
+  g_test_add_func ("/combined-faults/ends-under-different-owners",
+                   test_ends_under_different_owners);
+  g_test_add_func ("/combined-faults/late-writes", test_late_writes);
+  g_test_add_func ("/combined-faults/placement-constraints", test_placement_constraints);
+  g_test_add_func ("/combined-faults/ten-owner-changes", test_ten_owner_changes);
+  g_test_add_func ("/combined-faults/quota-at-takeover", test_quota_at_takeover);
+  g_test_add_func ("/combined-faults/unreachable-at-takeover", test_unreachable_at_takeover);
+  g_test_add_func ("/combined-faults/commands-to-paused-machines",
+                   test_commands_to_paused_machines);
+  g_test_add_func ("/combined-faults/cancel-at-job-end", test_cancel_at_job_end);
+  g_test_add_func ("/combined-faults/machines-stop-reporting", test_machines_stop_reporting);
+  g_test_add_func ("/combined-faults/process-stall", test_process_stall);
+  g_test_add_func ("/combined-faults/healthy-job-on-faulty-machines",
+                   test_healthy_job_on_faulty_machines);
+  g_test_add_func ("/combined-faults/start-after-recovery", test_start_after_recovery);
+  g_test_add_func ("/combined-faults/owner-resumes-after-stall", test_owner_resumes_after_stall);
+  g_test_add_func ("/combined-faults/shared-polls", test_shared_polls);
+  g_test_add_func ("/combined-faults/poll-overload", test_poll_overload);
+  g_test_add_func ("/combined-faults/polls-during-faults", test_polls_during_faults);
+  g_test_add_func ("/combined-faults/machines-boot-at-former-owner",
+                   test_machines_boot_at_former_owner);
+  g_test_add_func ("/combined-faults/former-owner-and-leader", test_former_owner_and_leader);
+  g_test_add_func ("/combined-faults/surplus-machines-serve-other-teams",
+                   test_surplus_machines_serve_other_teams);
+  g_test_add_func ("/combined-faults/few-machines", test_few_machines);
+  g_test_add_func ("/combined-faults/reporting-but-not-fenced", test_reporting_but_not_fenced);
+  g_test_add_func ("/combined-faults/many-one-task-jobs", test_many_one_task_jobs);
+  g_test_add_func ("/combined-faults/machines-never-boot", test_machines_never_boot);
+  g_test_add_func ("/combined-faults/huge-array", test_huge_array);
+  g_test_add_func ("/combined-faults/failing-job", test_failing_job);
+  g_test_add_func ("/combined-faults/random-faults", test_random_faults);
+  g_test_add_func ("/combined-faults/cloud-outage-at-takeover", test_cloud_outage_at_takeover);
   return g_test_run ();
 }
