--- a/tests/test_races.c
+++ b/tests/test_races.c
@@ -1,10 +1,11 @@
-/* What arrives late, twice, unanswered or at the worst moment, in simulated time: commands,
- * reports, answers, questions and cancellations around takeovers. The stand-ins watch every rule;
- * docs/incidents/meetings.md lists these together with test_meetings.c. */
+/* Messages that arrive late, twice, without a response or at the worst moment, in simulated time:
+ * commands, reports, responses, polls and cancellations around takeovers. The rule checker of the
+ * simulated cluster checks every rule of the protocol throughout. docs/incidents/meetings.md lists
+ * these cases together with those of test_combined_faults.c. */
 #include "fixture.h"
 
-/* One-task jobs come four a second for minutes, and a quarter of them is cancelled, at any moment
- * from before the first report to about the end. */
+/* Four one-task jobs a second are submitted for two minutes, and about a quarter of them are
+ * cancelled, at any time from before the first report to about the end of the job. */
 static void
 small_jobs (void)
 {
@@ -18,8 +19,8 @@
     sim_submit (id, team, i % 5 ? "normal" : "urgent", 1, 1, 4, 60);
     sim_run (0.25);
     if (i % 4 == 3) {
-      guint back = (guint) g_rand_int_range (random, 0, 40);
-      g_autofree char *cancelled = g_strdup_printf ("wk-01%04u", i - MIN (i, back));
+      guint jobs_back = (guint) g_rand_int_range (random, 0, 40);
+      g_autofree char *cancelled = g_strdup_printf ("wk-01%04u", i - MIN (i, jobs_back));
       sim_cancel (cancelled);
     }
     if (i % 160 == 80)
@@ -34,8 +35,8 @@
   with_seeds (small_jobs);
 }
 
-/* New machines are up within two seconds and get work at once, while writes lag or are lost, and
- * the leader and the owners end. */
+/* New machines boot within two seconds and get tasks at once, while the state service is slow and
+ * executes some commits late and without a response, and the leader and the owners crash. */
 static void
 quick_boots (void)
 {
@@ -66,8 +67,8 @@
   with_seeds (quick_boots);
 }
 
-/* Direct commands are held up on their way, of owners that have ended or lost their part by then as
- * well, and are carried out after those of the new one. */
+/* Half of the direct commands are delayed and executed after commands of a new owner, also where
+ * the owner that sent them has crashed or lost its shard by then. */
 static void
 late_commands (void)
 {
@@ -102,10 +103,10 @@
   with_seeds (late_commands);
 }
 
-/* Transactions are carried out at once and only their answers are lost, while users ask all the
- * other nodes, which read what was written. */
+/* Commits are executed at once and only their responses are lost, while users poll all other nodes,
+ * which read the committed values. */
 static void
-lost_answers (void)
+lost_commit_responses (void)
 {
   SimOptions o = default_options;
   o.poll_after_change = TRUE;
@@ -126,13 +127,14 @@
 }
 
 static void
-test_lost_answers (void)
+test_lost_commit_responses (void)
 {
-  with_seeds (lost_answers);
+  with_seeds (lost_commit_responses);
 }
 
-/* Jobs are cancelled in the seconds in which their part changes hands: it is given back to a node
- * that has been away, which another one held it for meanwhile. */
+/* Jobs are cancelled in the seconds in which their shard is handed back: its home node was away,
+ * and another node has owned the shard meanwhile. `cancel_after_s` counts from the home node's
+ * restart. */
 static void
 cancel_at_handover (double cancel_after_s)
 {
@@ -140,7 +142,7 @@
   sim_submit ("wk-000001", "team0", "normal", 16, 1, 500, 2000);
   sim_submit ("wk-000002", "team0", "normal", 16, 1, 500, 2000);
   sim_run (35);
-  crash_and_restart (0, 9); /* another takes the part, and hands it back some 8 s after this */
+  crash_and_restart (0, 9); /* another node takes over, and hands back some 8 s after the restart */
   sim_run (cancel_after_s);
   sim_cancel ("wk-000001");
   sim_run (0.4);
@@ -160,11 +162,11 @@
   seed -= 16;
 }
 
-/* Right after a job was accepted, ended or confirmed as cancelled, its user asks all nodes within
- * milliseconds and repeats the submission there: no node answers anything older. A crowd asks as
- * well, so that questions share requests, and the service answers slowly. */
+/* Right after a job is accepted, ends or is confirmed as cancelled, its user polls all nodes within
+ * milliseconds and repeats the submission there. No node may answer with an older state. Further
+ * users poll at the same time, so that polls share requests, and the state service is slow. */
 static void
-close_looks (void)
+polls_after_change (void)
 {
   SimOptions o = default_options;
   o.poll_after_change = TRUE;
@@ -192,13 +194,13 @@
 }
 
 static void
-test_close_looks (void)
+test_polls_after_change (void)
 {
-  with_seeds (close_looks);
+  with_seeds (polls_after_change);
 }
 
-/* Old reports reach every node just as owners and the leader change: before, in and after the
- * takeover, also of machines that have gone and of sessions that are over. */
+/* Old reports reach every node just as owners and the leader change: before, during and after the
+ * takeover. Some are of machines that are gone or of sessions that have ended. */
 static void
 old_reports (void)
 {
@@ -233,11 +235,11 @@
   with_seeds (old_reports);
 }
 
-/* Every team is at its limit. Jobs of each are cancelled while machines that hold their tasks hang
- * or are cut off, and owners and the leader change: what waits takes their place no sooner than
- * they are surely gone. */
+/* Every team has used up its quota. Jobs of each team are cancelled while machines with their tasks
+ * are paused or cut off, and owners and the leader change. Waiting tasks may take the place of the
+ * cancelled ones only when these have certainly ended. */
 static void
-teams_at_limits (void)
+teams_at_quota (void)
 {
   SimOptions o = default_options;
   o.team_limit = 16;
@@ -249,7 +251,7 @@
     sim_submit (id, team, "normal", 24, 1, 30, 900);
   }
   sim_run (40);
-  g_assert_cmpuint (sim_tasks_running (NULL), >=, 36); /* of 48 that the limits allow */
+  g_assert_cmpuint (sim_tasks_running (NULL), >=, 36); /* of 48 that the quotas allow */
   for (guint i = 0; i < 3; i++) {
     g_auto (GStrv) all = sim_machine_names (NULL);
     for (guint k = 0; all[k] && k < 4; k++)
@@ -274,31 +276,32 @@
 }
 
 static void
-test_teams_at_limits (void)
+test_teams_at_quota (void)
 {
-  with_seeds (teams_at_limits);
+  with_seeds (teams_at_quota);
 }
 
-/* What happened: an owner's watch of the jobs showed one of its own earlier writes only after its
- * final one had taken the job away ("job wk-000001: cancelled", then the same job read again, then
- * "ended", in the log of /double-start/late-assignment). The job lived again with what that write
- * held: of before its cancellation, so that its tasks started after the user had been told
- * (`started_cancelled`), or of before its last tasks were done, so that these started once more.
- * Why: only what a live job already was had a revision to compare with; of a job that had ended
- * nothing was kept. A watch's answer may be seconds late; the state service answers slowly now and
- * then. */
+/* Guards against a stale watch event that revives an ended job. In the test
+ * /double-start/late-assignment an owner's watch of the jobs showed one of its own earlier writes
+ * only after its final write had removed the job (the log had job wk-000001 cancelled, then read
+ * again, then ended). The job came back as that write had stored it: from before its cancellation,
+ * so that its tasks started after the user had been told (`started_cancelled`), or from before its
+ * last tasks were done, so that these started again. The cause: revisions were compared for live
+ * jobs only, and nothing was kept of an ended job. Watch responses may be seconds late, as the
+ * state service is slow now and then. */
 static void
-old_event (gboolean cancel)
+stale_watch_event (gboolean cancel)
 {
   SimOptions o = default_options;
   o.run_time_jitter = 0.9;
   start_cluster (&o);
   sim_submit ("wk-000001", "team0", "normal", 24, 1, cancel ? 40 : 14, 600);
-  sim_submit ("wk-000002", "team0", "normal", 6, 1, 90, 600); /* keeps machines with room */
+  /* Keeps machines with room rented. */
+  sim_submit ("wk-000002", "team0", "normal", 6, 1, 90, 600);
   sim_run (18);
   sim_watch_delay (6);
-  guint64 mark = sim_state_revision ("job/wk-000001");
-  for (guint i = 0; i < 200 && sim_state_revision ("job/wk-000001") == mark; i++)
+  guint64 revision = sim_state_revision ("job/wk-000001");
+  for (guint i = 0; i < 200 && sim_state_revision ("job/wk-000001") == revision; i++)
     sim_run (0.05);
   if (cancel)
     sim_cancel_at ("wk-000001", 0);
@@ -315,27 +318,27 @@
 }
 
 static void
-old_event_cancelled (void)
+stale_watch_event_cancelled (void)
 {
-  old_event (TRUE);
+  stale_watch_event (TRUE);
 }
 
 static void
-test_old_event_cancelled (void)
+test_stale_watch_event_cancelled (void)
 {
-  with_seeds (old_event_cancelled);
+  with_seeds (stale_watch_event_cancelled);
 }
 
 static void
-old_event_done (void)
+stale_watch_event_done (void)
 {
-  old_event (FALSE);
+  stale_watch_event (FALSE);
 }
 
 static void
-test_old_event_done (void)
+test_stale_watch_event_done (void)
 {
-  with_seeds (old_event_done);
+  with_seeds (stale_watch_event_done);
 }
 
 int
@@ -345,12 +348,12 @@
   g_test_add_func ("/races/small-jobs", test_small_jobs);
   g_test_add_func ("/races/quick-boots", test_quick_boots);
   g_test_add_func ("/races/late-commands", test_late_commands);
-  g_test_add_func ("/races/lost-answers", test_lost_answers);
+  g_test_add_func ("/races/lost-commit-responses", test_lost_commit_responses);
   g_test_add_func ("/races/cancel-at-handover", test_cancel_at_handover);
-  g_test_add_func ("/races/close-looks", test_close_looks);
+  g_test_add_func ("/races/polls-after-change", test_polls_after_change);
   g_test_add_func ("/races/old-reports", test_old_reports);
-  g_test_add_func ("/races/teams-at-limits", test_teams_at_limits);
-  g_test_add_func ("/races/old-event-cancelled", test_old_event_cancelled);
-  g_test_add_func ("/races/old-event-done", test_old_event_done);
+  g_test_add_func ("/races/teams-at-quota", test_teams_at_quota);
+  g_test_add_func ("/races/stale-watch-event-cancelled", test_stale_watch_event_cancelled);
+  g_test_add_func ("/races/stale-watch-event-done", test_stale_watch_event_done);
   return g_test_run ();
 }
