--- a/tests/test_double_start.c
+++ b/tests/test_double_start.c
@@ -1,10 +1,11 @@
-/* Ways in which one task could come to be on two machines at once, each brought about on purpose:
- * whole nodes in simulated time, with stand-ins that watch every rule. */
+/* Sequences of events in which one task could run on two machines at once, each brought about on
+ * purpose: whole nodes in simulated time, with the rule checker of the simulated cluster. */
 #include "fixture.h"
 
-/* A report is still on its way when the machine's answer to a direct command, which is newer,
- * arrives: the report tells nothing new, but its answer renews the machine's lease. The machine
- * then reaches nobody any more, and its tasks are on it until that lease is over. */
+/* A report is still on its way when a newer one arrives in the machine's response to a direct
+ * command. The overtaken report tells the owner nothing new, but the response to it renews the
+ * machine's lease. The machine then reaches no node any more, and its tasks run until that lease
+ * expires: the owner must not start them elsewhere before that. */
 static void
 overtaken_report (void)
 {
@@ -13,7 +14,7 @@
   o.lease_s = 20;
   start_cluster (&o);
   sim_submit ("wk-000001", "team0", "normal", 1, 2, 150, 600);
-  sim_submit ("wk-000002", "team0", "normal", 1, 1, 150, 600); /* its end is the command */
+  sim_submit ("wk-000002", "team0", "normal", 1, 1, 150, 600); /* its cancellation is the command */
   sim_run (25);
   sim_submit ("wk-000003", "team0", "normal", 7, 5, 150, 600); /* leaves room on other machines */
   sim_run (30);
@@ -37,15 +38,15 @@
   with_seeds (overtaken_report);
 }
 
-/* The leader's transaction that gives machines to one part gets no answer; what it is needed for
- * changes, it gives them to another part, and then the first transaction is carried out after all.
- */
+/* The leader's transaction that gives machines to one shard gets no response. The demand changes,
+ * the leader gives the same machines to another shard, and then the first transaction is executed
+ * after all. */
 static void
 late_assignment (void)
 {
   SimOptions o = default_options;
   o.machine_cpus = 1;
-  o.max_machines = 110; /* more than one chunk of a part's record */
+  o.max_machines = 110; /* more than one chunk of a shard's machine record */
   start_cluster (&o);
   sim_submit ("wk-000002", "team1", "normal", 64, 1, 150, 600);
   sim_submit ("wk-000004", "team1", "normal", 12, 1, 150, 600);
@@ -57,9 +58,9 @@
   sim_cancel ("wk-000001");
   sim_submit ("wk-000003", "team1", "urgent", 8, 1, 60, 600);
   sim_run (22);
-  sim_cancel ("wk-000004"); /* room for another copy of what a part takes for gone */
+  sim_cancel ("wk-000004"); /* makes room to start tasks again that a shard considers gone */
   sim_run (1.5);
-  for (guint i = 0; i < 6; i++) { /* each changes the second part's record */
+  for (guint i = 0; i < 6; i++) { /* each job changes the second shard's machine record */
     g_autofree char *id = g_strdup_printf ("wk-00001%u", i);
     sim_submit (id, "team1", "normal", 12, 1, 30, 600);
     sim_run (0.7);
