--- a/tests/test_overload.c
+++ b/tests/test_overload.c
@@ -6,7 +6,7 @@
  * machines, which then stopped responding. Their owner sent each machine one command for each job
  * and then a further one each second, while the earlier ones still waited for their timeout of
  * 1.5 s, until its main loop was blocked for 20 s (bench/mutes.toml, seed 1: 1,271 tasks to stop at
- * 124.8 to 125.1 s, node berth-1 logged a process stall at 145.9 s; /http/many-calls measures the
+ * 124.8 to 125.1 s, node berth-1 logged a process stall at 145.9 s; see /http/many-calls for the
  * cost of each call). The cause: nothing recorded that a command to a machine was under way. One at
  * a time is enough, as it carries all kills. */
 static void
@@ -37,7 +37,7 @@
  * owner of a shard requested the same deletions each second, and ten times a second during a
  * takeover, each with a log line (bench/mutes.toml: 6,456, 14,306, 7,597 and 11,332 such lines on
  * seeds 1 to 4, 3,119 of them by one owner within 14 s of its takeover), on 4% of a core. The
- * cause: the next tick simply repeated a refused deletion. An interval of two seconds between two
+ * cause: the next tick simply repeated a refused deletion. An interval of two seconds between
  * requests costs no more than two seconds of the machine's price. */
 static void
 refused_deletions (void)
