--- a/tests/fakes.h
+++ b/tests/fakes.h
@@ -1,102 +1,108 @@
-/* Between the stand-ins (fakes.c) and what carries time and messages: sim.c, in simulated time with
- * nodes in this process, and soak/soak.c, in real time with nodes as processes on loopback. */
+/* The fakes' state and the interface between the fakes (fakes.c) and the backend that provides time
+ * and messages: sim.c in simulated time with the nodes in this process, or soak/backend.c in real
+ * time with the nodes as processes on loopback. */
 #pragma once
 #include "http-client.h"
 #include "http-server.h"
 #include "sim.h"
 
 #define SIM_MAX_NODES 8
-#define SIM_CLIENT_PORT 8080 /* of a node, for users and workers */
-#define SIM_PEER_PORT 8081   /* of a node, for its peers */
+#define SIM_CLIENT_PORT 8080 /* a node's port for users and workers */
+#define SIM_PEER_PORT 8081   /* a node's port for its peers */
 
-/* A request on its way, and its answer. */
+/* A request in flight, and its response. */
 typedef struct {
-  char *from, *to, *host, *method, *path; /* from, to: names; host: the address */
+  char *from, *to, *host, *method, *path; /* from, to: host names; host: the address */
   json_t *body;
-  gint owner;        /* node that asked; -1: the world */
-  guint incarnation; /* of that node */
+  gint owner;        /* the node that sent it; -1: a fake did */
+  guint incarnation; /* the sending node's, which changes with each start */
   gboolean completed;
   KrHttpResponseFunc reply;
   gpointer data;
   guint status;
   json_t *response;
-  gpointer http_request; /* soak: the HTTP message to be answered; NULL: the world asks */
+  gpointer http_request; /* soak: the KrHttpRequest to respond to; NULL: a fake sent the request */
 } Call;
 
 typedef struct {
   SimOptions options;
   GRand *rng;
   gint64 now;               /* us since the start */
-  GHashTable *links;        /* "a>b" -> SimLinkState */
+  GHashTable *links;        /* "from>to" -> SimLinkState */
   GPtrArray *held_messages; /* Message */
-  /* state */
+  /* state service */
   GHashTable *store;  /* key -> Entry */
   GHashTable *leases; /* id -> Lease */
-  GPtrArray *watches; /* Follow */
-  GArray *changes;    /* Change */
+  GPtrArray *watches; /* Watch */
+  GArray *changes;    /* Change, in the order of their revisions */
   guint64 revision, next_lease;
   gboolean outage, refuse_node[SIM_MAX_NODES], refuse_range_reads[SIM_MAX_NODES];
   double state_delay_s, watch_delay_s;
   guint drop_commit_responses;
-  char *hold_prefix; /* of a key that a commit writes, for hold_commits */
+  char *hold_prefix; /* sim_hold_commits(): prefix of a key that the commit puts */
   guint hold_commits;
   double hold_commits_s;
   double delayed_commit_share, delayed_command_share;
-  double write_tokens;
+  double write_tokens; /* of the rate limit for writes, as of write_tokens_at */
   gint64 write_tokens_at;
   /* cloud */
   GHashTable *machines;      /* id -> Machine */
-  GHashTable *running_tasks; /* "job/index" -> Task that is on a machine */
-  guint machines_alive;      /* machines */
-  GHashTable *rentals;
+  GHashTable *running_tasks; /* "job/index" -> Task that runs on a machine */
+  guint machines_alive;
+  GHashTable *rentals; /* request name -> JSON array of the rented machines' ids */
   guint next_machine;
   gboolean fail_boots, cloud_outage;
-  guint refused_deletions; /* names in them */
+  guint refused_deletions; /* machine ids in refused deletions */
   /* users */
   GHashTable *jobs; /* id -> User */
   GString *violations;
-  gint64 faults_over_at; /* 0: not yet */
+  gint64 faults_over_at; /* us since the start; 0: faults may still occur */
   guint tasks_started;
-  guint response_counts[600]; /* to sim_request_async, by status */
+  guint response_counts[600]; /* responses to sim_request_async(), by status */
   guint state_requests, leases_revoked;
 } Fakes;
 extern Fakes fakes;
 
-/* --- of fakes.c ---------------------------------------------------------------------- */
+/* --- implemented by fakes.c -------------------------------------------------------------- */
 void fakes_start (guint32 seed, const SimOptions *options);
 void fakes_stop (void);
-/* What passes from one host to another now, and passing it on after the network's usual delay. */
+/* Returns the state of the link from one host to another. */
 SimLinkState fakes_link_state (const char *from, const char *to);
+/* Sends a message over the link: calls `func` after a network delay, after the end of the hold, or
+ * never, as the link's state says. */
 void fakes_deliver (const char *from, const char *to, GSourceFunc func, gpointer data);
-/* A node's settings, as the addresses of the backend make them. */
+/* Returns a node's settings, with the backend's addresses. The caller owns the reference. */
 json_t *fakes_node_settings (guint node);
-/* A key's value in the state service, or NULL. */
+/* Returns the value of a key in the state service (borrowed), or NULL. */
 json_t *fakes_stored_value (const char *key);
-/* Breaks a rule, as the checker sees it. */
+/* Records that a rule of the checker was violated. */
 void record_violation (const char *format, ...) G_GNUC_PRINTF (1, 2);
-/* Answers a request to the state service, the cloud or a worker. */
+/* Handles a request to the state service, the cloud or a worker. */
 void fakes_handle_request (Call *c);
-/* A `run` did not reach the machine, for sim_runs_lost. */
+/* Counts a `run` order to the machine that was lost, for sim_runs_lost(). */
 void fakes_count_lost_run (const char *machine);
-/* A copy of a request arrives a second to a minute later; nobody reads its answer. */
+/* Sends a copy of a request 1 to 60 s later, and ignores its response. */
 void fakes_send_duplicate_later (const char *from, const char *method, const char *to,
                                  const char *path, json_t *body);
-extern gboolean fakes_sending_duplicate; /* a copy is being sent: it has no copies */
+/* Set while such a copy is sent, so that it isn't duplicated again. */
+extern gboolean fakes_sending_duplicate;
 
-/* --- of the backend ------------------------------------------------------------------ */
+/* --- implemented by the backend ---------------------------------------------------------- */
+/* Calls `func` once after `s` seconds; its return value is ignored. */
 void schedule_after (double s, GSourceFunc func, gpointer data);
-/* The world asks a node. Takes over `body`. `reply` is called once, with status 0 after timeout_s.
- * The late one leaves `late_s` after it was sent. */
+/* Sends a request from a fake to a node. Takes over `body`. Calls `reply` once, with status 0 if
+ * there is no response within `timeout_s`. The delayed one leaves `late_s` after the call. */
 Call *fakes_call (const char *from, const char *method, const char *address, const char *path,
                   json_t *body, double timeout_s, KrHttpResponseFunc reply, gpointer data);
 Call *fakes_call_delayed (const char *from, const char *method, const char *address,
                           const char *path, json_t *body, double timeout_s, double late_s,
                           KrHttpResponseFunc reply, gpointer data);
-/* Takes over `body`. */
+/* Sends the response to a request. Takes over `body`. */
 void fakes_respond (Call *c, guint status, json_t *body);
+/* The following return "ip:port". The caller frees it with g_free(). */
 char *sim_node_address (guint node, guint port);
 char *sim_machine_address (guint number);
-/* Of the state service or the cloud, and of a peer, as one node reaches them. */
+/* The addresses at which `node` reaches the state service, the cloud and a peer. */
 char *sim_state_address (guint node);
 char *sim_cloud_address (guint node);
 char *sim_peer_address (guint node, guint peer);
--- a/tests/liveness.h
+++ b/tests/liveness.h
@@ -1,7 +1,7 @@
-/* The checker's liveness rule: a while after the last trouble every controller whose process lives
- * is ready, and every part has such an owner. */
+/* The checker's liveness rule: 30 s after the last fault every node whose process is alive is
+ * ready, and every shard is owned by such a node. */
 #pragma once
 #include <glib.h>
 
-/* The last trouble is over now; the check is put off from an earlier such moment. */
+/* Declares that the last fault is over. A later call postpones the check. */
 void liveness_faults_over (void);
--- a/tests/sim.h
+++ b/tests/sim.h
@@ -1,162 +1,208 @@
-/* A small world in simulated time for whole nodes: stand-ins of the state service, the cloud and
- * the workers by the published protocol, a network that can fail, and a plain checker of the rules.
- * It takes the place of clock.c, http-client.c and http-server.c: the nodes under test are
- * otherwise the real thing. */
+/* Deterministic simulation of a deployment: whole nodes run in one process, in simulated time,
+ * against fakes of the state service, the cloud, the workers and the users that speak the published
+ * protocol, over a network that can fail. A checker compares what the workers run and the users are
+ * told with the rules of the protocol. sim.c replaces clock.c, http-client.c and http-server.c; the
+ * rest of a node is the production code.
+ *
+ * The functions on the fakes (fakes.c) also serve the soak test, which runs the nodes as processes
+ * in real time. */
 #pragma once
 #include "node.h"
 
+/* A link that is on hold keeps its messages until it is up again. */
 typedef enum { SIM_LINK_UP, SIM_LINK_DROP, SIM_LINK_HOLD } SimLinkState;
 
 typedef struct {
   guint nodes, machine_cpus;
-  guint teams;       /* "team0", ...; as many as nodes at least */
-  double team_limit; /* cpus_max of every team; 0: none */
+  guint teams;       /* named "team0", "team1", ...; raised to the number of nodes */
+  double team_limit; /* cpus_max of every team; 0: no quota */
   double report_s, lease_s, cancel_s;
   double spot_price;
-  guint max_machines; /* that the cloud has at most */
+  guint max_machines; /* the cloud's capacity */
   double value_kb, write_rps;
-  double machine_poll_s;     /* between looks at a machine; 0: 50 ms */
-  double duplicate_requests; /* share of the nodes' and users' requests that arrive once more, later
-                                still */
-  double duplicate_reports;  /* share of reports of which a copy comes late, from a second to a
-                                minute */
-  double image_pull_s;       /* that each task waits for its image */
-  double clock_drift;        /* share by which the nodes' steady clocks run fast */
-  guint zones;               /* "z0", "z1", ...; 0: one */
-  double run_time_jitter;    /* a task runs up to this share longer or shorter than told */
-  double boot_min_s, boot_max_s; /* until a machine is up; 0: 6 and 15 */
-  gboolean poll_after_change;    /* after each acceptance and end users ask at all nodes within
-                                    milliseconds */
+  double machine_poll_s; /* interval at which a machine is updated; 0: 50 ms */
+  /* Share of the nodes' and users' requests that arrive a second time, 1 to 60 s later. */
+  double duplicate_requests;
+  /* Share of the workers' reports that arrive a second time, 1 to 60 s later. */
+  double duplicate_reports;
+  double image_pull_s;           /* time that each task takes to pull its image */
+  double clock_drift;            /* fraction by which the nodes' monotonic clocks run fast */
+  guint zones;                   /* named "z0", "z1", ...; 0: one */
+  double run_time_jitter;        /* a task's run time varies by up to this fraction */
+  double boot_min_s, boot_max_s; /* range of the machines' boot times; 0: 6 to 15 s */
+  /* Whenever a job is accepted or ends, its user asks every node for it within 20 ms. */
+  gboolean poll_after_change;
 } SimOptions;
 
+/* Starts the fakes and all nodes. */
 void sim_start (guint32 seed, const SimOptions *options);
 void sim_stop (void);
-void sim_log_to_stderr (void); /* what the nodes log, with simulated time */
-double sim_now (void);         /* s since the start */
+/* Writes the nodes' log to stderr, each line with the simulated time and the node. */
+void sim_log_to_stderr (void);
+/* Returns the seconds since the start. */
+double sim_now (void);
 void sim_run (double seconds);
 
-/* Nodes are "n0", "n1", ...; the others "state", "cloud" and a machine's id. */
+/* --- nodes and links. Hosts are named "n0", "n1", ... (the nodes), "state", "cloud", and the
+ * machines by their ids ------------------------------------------------------------------- */
 void sim_node_start (guint i);
+/* Ends the node like SIGKILL. */
 void sim_node_kill (guint i);
-/* It stands still, its clocks run on; what arrives meanwhile it finds when it goes on. */
+/* Stops the node like SIGSTOP, or continues it. Its clocks run on, and messages that arrive
+ * meanwhile are delivered when it continues. */
 void sim_node_pause (guint i, gboolean on);
-/* Requests to its peers' address get no answer; its own requests do. */
+/* Drops the requests to the node's internal address. Its own requests get through. */
 void sim_node_drop_peer_requests (guint i, gboolean on);
-/* What passes from one host to another; SIM_LINK_UP also lets out what was held. */
+/* Sets the state of the link in one direction. SIM_LINK_UP also delivers the messages on hold. */
 void sim_set_link (const char *from, const char *to, SimLinkState how);
+/* Sets both directions. */
 void sim_set_link_both (const char *a, const char *b, SimLinkState how);
+
+/* --- faults of the state service --------------------------------------------------------- */
+/* All requests but watches fail with 503, and no lease expires. Leases start anew at the end. */
 void sim_state_outage (gboolean on);
+/* The same for the requests of one node, while its leases run on. */
 void sim_state_refuse_node (guint node, gboolean on);
-/* It answers 503 when that node reads a prefix whole; all else is answered. */
+/* The node's list requests fail with 503. All its other requests succeed. */
 void sim_state_refuse_range_reads (guint node, gboolean on);
-/* The node's next n reads of a prefix never end for their caller, against what kr_http_client_call
- * promises. */
+/* The callbacks of the node's next n list requests are never called: a fault in the HTTP client,
+ * which promises a callback for each call. */
 void sim_drop_range_reads (guint node, guint n);
-/* Its answers take up to this much longer. */
+/* Responses take up to that much longer. */
 void sim_state_delay (double seconds);
-/* What its watches show arrives that much later; all else at once. */
+/* Responses to watches take that much longer. */
 void sim_watch_delay (double seconds);
-/* That share of commits gets no answer and is carried out 2 to 12 s later, after newer ones. */
+/* That share of the commits is executed 2 to 12 s late, after newer ones. The caller has usually
+ * timed out by then. */
 void sim_delay_commits (double share);
-/* The next n commits are executed, but their answers are lost. */
+/* The next n commits are executed, but their responses are lost. */
 void sim_drop_commit_responses (guint n);
-/* The next n commits that put a key with that prefix get no answer and are carried out that much
- * later; how many of them are still to come. */
+/* The next n commits that put a key with that prefix are executed, and get their response, that
+ * much later. */
 void sim_hold_commits (const char *prefix, guint n, double seconds);
+/* Returns how many of these commits are still to come. */
 guint sim_commits_left_to_hold (void);
-/* That share of direct commands gets no answer and is carried out once, 2 to 16 s late, where token
- * and session still match. */
+
+/* --- faults of the machines and the cloud ------------------------------------------------ */
+/* That share of the POST /commands requests gets no response and is executed 2 to 16 s late, if the
+ * fencing token and the session still match. */
 void sim_delay_commands (double share);
-/* A report that each machine sent some ten seconds ago or more, also of machines that are gone,
- * reaches every node now. */
+/* Sends to every node a report that each machine, dead ones included, made about ten seconds ago or
+ * earlier. */
 void sim_replay_old_reports (void);
 void sim_machine_kill (const char *id);
+/* Tasks that start on the machine fail. */
 void sim_machine_fail_tasks (const char *id, gboolean sick);
+/* Tasks that start on the machine take that many times as long. */
 void sim_machine_slow_down (const char *id, double factor);
-/* It stands still, its clocks run on; what is sent to it arrives when it goes on. */
+/* Pauses the machine. Its clocks run on, and requests to it are delivered when it continues. */
 void sim_machine_pause (const char *id, gboolean on);
-/* It opens no connections; direct commands reach it and are answered. */
+/* The machine sends no reports. It still receives commands and responds to them. */
 void sim_machine_stop_reports (const char *id, gboolean on);
-/* Its next report takes that much longer to arrive; whether one is under way. */
+/* The machine's next report takes that much longer to arrive. */
 void sim_delay_next_report (const char *id, double seconds);
+/* Returns whether a report of the machine has no response yet. */
 gboolean sim_report_in_flight (const char *id);
-/* When the report was sent from which its lease counts, in seconds since the start. */
+/* Returns the start of the machine's lease in seconds since the start of the simulation: the time
+ * at which the last report with a valid response was sent. */
 double sim_lease_renewed_at (const char *id);
-/* A machine that has a task of the job, or NULL. */
+/* Returns a machine that has a task of the job, or NULL. */
 const char *sim_machine_of (const char *job);
-/* The machine that runs most tasks, or NULL. */
+/* Returns the machine with the most tasks, or NULL. */
 const char *sim_busiest_machine (void);
-/* The machine that runs fewest, but some, or NULL. */
+/* Returns the machine with the fewest tasks, but at least one, or NULL. */
 const char *sim_least_busy_machine (void);
-/* The longest that a machine that is up has been without, or has waited for, its first task. */
+/* Returns the longest time in seconds from a live machine's boot to its first task (to now, if it
+ * has had none). */
 double sim_longest_wait_for_task (void);
-/* Runs sent to a machine (NULL: to all) in answers that a cut dropped. */
+/* Returns the number of `run` orders to the machine (NULL: to all machines) that were lost with a
+ * dropped response. */
 guint sim_runs_lost (const char *id);
+/* Returns the number of machines that are rented now. */
 guint sim_machine_count (void);
-/* The cloud answers nothing but 503. */
+/* All requests to the cloud fail with 503. */
 void sim_cloud_outage (gboolean on);
-/* Machines rented from now on never come up. */
+/* Machines rented from now on never finish booting. */
 void sim_fail_boots (gboolean on);
-/* The longest that one which is not up has been paid for, in seconds. */
+/* Returns the longest time in seconds that a machine that is still booting has been rented. */
 double sim_longest_boot (void);
-/* Names of those that are up, or of one zone (free with g_strfreev). */
+/* Returns the sorted ids of the machines that are up, in one zone or (NULL) in all. The caller
+ * frees them with g_strfreev(). */
 char **sim_machine_names (const char *zone);
+/* Returns whether the machine was rented and has been neither killed nor deleted. */
 gboolean sim_machine_alive (const char *id);
-guint sim_tasks_running (const char *job); /* NULL: of all jobs */
+/* Returns the number of running tasks of the job, or (NULL) of all jobs. */
+guint sim_tasks_running (const char *job);
 
-/* A user: submits (and repeats until accepted), polls every 5 s, checks every answer. */
+/* --- users ------------------------------------------------------------------------------- */
+/* Adds a user with one job. The user repeats the submission until it is accepted, then polls the
+ * job every 5 s; the checker judges each response. */
 void sim_submit (const char *id, const char *team, const char *rank, guint tasks, double cpus,
                  double run_s, double deadline_s);
-/* The same, bound to one zone (whichever), or apart. */
+/* With SIM_ONE_ZONE all tasks have to run in the same zone; with SIM_SPREAD at most half of them,
+ * rounded up, may run in one zone. */
 typedef enum { SIM_ANYWHERE, SIM_ONE_ZONE, SIM_SPREAD } SimPlacement;
+/* As sim_submit(), with a placement rule. */
 void sim_submit_placed (const char *id, const char *team, guint tasks, double cpus, double run_s,
                         SimPlacement placing);
-/* Its user cancels it: aborts until that is confirmed, now and then polling or submitting again. */
+/* Cancels the job: its user repeats the request until the cancellation is confirmed, and at random
+ * polls or submits the job again in between. */
 void sim_cancel (const char *id);
-/* Its tasks fail on every machine. */
+/* Tasks of the job that start from now on fail on every machine. */
 void sim_job_fail_tasks (const char *id, gboolean on);
-void sim_cancel_at (const char *id, guint node); /* the first time through that node */
-void sim_poll_at (const char *id, guint node);   /* a further time, through that node */
-/* What its user was told last: "", pending, running, done, cancelled. */
+/* As sim_cancel(), with the first request to that node. */
+void sim_cancel_at (const char *id, guint node);
+/* Sends one more poll of the job to that node. */
+void sim_poll_at (const char *id, guint node);
+/* Returns the job state that the user was told last: "" (none yet), pending, running, done or
+ * cancelled. */
 const char *sim_reported_state (const char *id);
+/* Returns whether every user was told that the job is done or cancelled. */
 gboolean sim_all_jobs_finished (void);
-/* From now on there are no troubles: no accepted job may be without an answer for 75 s, wait for
- * 90 s while a machine that fits has room and its team is under its limit, or not begin within
- * 240 s. */
+/* Declares that no more faults are injected. From now on no accepted job may be without a response
+ * for 75 s, wait for 90 s although it could start (a machine has room and the team is within its
+ * quota), or have started no task after 240 s. */
 void sim_faults_over (void);
-/* Every living node was asked whether it is ready, and every part looked at: 30 s after that. */
+/* Returns whether the liveness check, 30 s after sim_faults_over(), is complete: every live node
+ * was asked whether it is ready, and every shard was checked for a live owner. */
 gboolean sim_liveness_checked (void);
-/* One request to a node's public address; the answer's status (0: none) after up to 5 s. */
+/* Sends a request to a node's public address and runs the simulation until the response. Returns
+ * its status, or 0 if there is none within 5 s. */
 guint sim_request (guint node, const char *method, const char *path, const char *body);
 
-/* The same without waiting, and how many such requests have had that answer so far. */
+/* As sim_request(), without waiting. */
 void sim_request_async (guint node, const char *method, const char *path, const char *body);
+/* Returns the number of responses with that status to sim_request_async(). */
 guint sim_response_count (guint status);
-/* Requests that the state service has had so far. */
+/* Returns the number of requests to the state service. */
 guint sim_state_request_count (void);
-/* Leases that were ended by a request. */
+/* Returns the number of leases that a request has ended. */
 guint sim_leases_revoked (void);
 
-/* The same to its address for peers. */
+/* As sim_request(), to the node's internal address, the one for its peers. */
 guint sim_peer_request (guint node, const char *method, const char *path, const char *body);
 
-/* Rules broken so far, as text; empty: none. */
+/* --- results ----------------------------------------------------------------------------- */
+/* Returns the violations of the checker's rules, one a line; "" if there are none. */
 const char *sim_violations (void);
-/* Machines in all parts' records. */
+/* Returns the number of machines in all shards' machine records. */
 guint sim_recorded_machines (void);
-/* A key gets a value (JSON) that no node wrote. */
+/* Writes a key of the state service to a JSON value. */
 void sim_state_put (const char *key, const char *value);
-/* A key vanishes from the state service; whether it is there. */
 void sim_state_remove (const char *key);
 gboolean sim_state_has (const char *key);
-guint64 sim_state_revision (const char *key); /* 0: not there */
-int sim_shard_owner (guint shard);            /* node that holds the part's key; -1: none */
+/* Returns the revision of the key's last change, or 0 if the key does not exist. */
+guint64 sim_state_revision (const char *key);
+/* Returns the node that holds the shard's owner key, or -1. */
+int sim_shard_owner (guint shard);
+/* Returns the number of tasks that have started. */
 guint sim_tasks_started (void);
-/* Reports handled so far, and what walks over machines they cost. */
+/* Returns the number of reports that the nodes have handled, and in `steps` the number of machines
+ * that they visited for them in walks over all machines of a shard. */
 guint sim_reports_handled (guint64 *steps);
-/* The most direct commands that were under way to one worker at once so far. */
+/* Returns the highest number of POST /commands requests that were in flight to one worker. */
 guint sim_max_concurrent_commands (void);
-/* Names in the deletions that the cloud has refused so far. */
+/* Returns the number of machine ids in the deletions that the cloud has refused. */
 guint sim_refused_deletions (void);
-/* Seconds from its submission to its first task's start; -1: none yet. */
+/* Returns the seconds from the job's submission to the start of its first task, or -1. */
 double sim_time_to_first_task (const char *id);
--- a/tests/soak/backend.h
+++ b/tests/soak/backend.h
@@ -1,16 +1,18 @@
-/* Real time, real processes: carries the world's messages (fakes.h) over HTTP on loopback. */
+/* Backend of the soak test: the nodes run as processes in real time, and the fakes' messages
+ * (fakes.h) go over HTTP on loopback. */
 #pragma once
 #include "fakes.h"
 
-/* Everything of a run is on 127.<net>.0.0/16: runs side by side need different ones. Logs and
- * settings go below `dir`. */
+/* Starts the fakes and the nodes. All addresses are in 127.<net>.0.0/16: runs side by side need
+ * different networks. Logs and settings are written to `dir`. */
 void backend_start (guint net, const char *program, const char *dir, guint32 seed,
                     const SimOptions *options);
-/* Whether no other run is on it now. */
+/* Returns whether no other run uses the network now. */
 gboolean backend_net_is_free (guint net);
-/* Ends all processes. */
+/* Kills all nodes. */
 void backend_stop (void);
-/* The node that holds the leader's key; -1: none. */
+/* Returns the node that holds the leader's key, or -1. */
 int backend_leader (void);
-/* Broken invariants and ends by themselves, as the nodes' logs tell them. */
+/* Records the error lines of the nodes' logs (e.g. broken invariants) and the sanitizers' findings as
+ * violations. */
 void backend_check_logs (void);
