--- a/tests/fakes.c
+++ b/tests/fakes.c
@@ -1,6 +1,6 @@
-/* The world around the nodes: stand-ins of the state service, the cloud, the workers and the users
- * by the published protocol, and a plain checker of the rules. Time and messages are the backend's.
- */
+/* Fakes of the state service, the cloud, the workers and the users that speak the published
+ * protocol, and a checker of the protocol's rules. The backend provides time and messages
+ * (fakes.h). */
 #include "fakes.h"
 #include "liveness.h"
 #include "constants.h"
@@ -9,8 +9,8 @@
 #include <math.h>
 #include <string.h>
 
-#define TXN_BYTES 65536     /* of a transaction, by the protocol */
-#define RECORDS "c/berths/" /* prefix of the parts' records of their machines */
+#define TXN_MAX_BYTES 65536       /* the protocol's limit for a transaction */
+#define RECORD_PREFIX "c/berths/" /* key prefix of the shards' machine records */
 
 Fakes fakes;
 
@@ -25,7 +25,7 @@
   va_end (args);
 }
 
-/* --- network ---------------------------------------------------------------------------- */
+/* --- network -------------------------------------------------------------------------------- */
 typedef struct {
   char *from, *to;
   GSourceFunc func;
@@ -51,8 +51,9 @@
     g_ptr_array_add (fakes.held_messages, m);
     return;
   }
-  double late = g_str_equal (from, "state") ? g_rand_double (fakes.rng) * fakes.state_delay_s : 0;
-  schedule_after (late + g_rand_double_range (fakes.rng, 0.0003, 0.004), func, data);
+  double delay_s =
+      g_str_equal (from, "state") ? g_rand_double (fakes.rng) * fakes.state_delay_s : 0;
+  schedule_after (delay_s + g_rand_double_range (fakes.rng, 0.0003, 0.004), func, data);
 }
 
 void
@@ -79,31 +80,31 @@
   sim_set_link (b, a, how);
 }
 
-/* A late copy of a request: nobody reads its answer. */
+/* A copy of a request that is sent later; its response is ignored. */
 typedef struct {
   char *from, *method, *to, *path;
   json_t *body;
-} Copy;
+} Duplicate;
 
 gboolean fakes_sending_duplicate;
 
 static void
-copy_answered (guint status, json_t *body, gpointer data)
+ignore_response (guint status, json_t *body, gpointer data)
 {
 }
 
 static gboolean
-copy_arrives (gpointer data)
+send_duplicate (gpointer data)
 {
-  Copy *c = data;
+  Duplicate *d = data;
   fakes_sending_duplicate = TRUE;
-  fakes_call (c->from, c->method, c->to, c->path, c->body, 4, copy_answered, NULL);
+  fakes_call (d->from, d->method, d->to, d->path, d->body, 4, ignore_response, NULL);
   fakes_sending_duplicate = FALSE;
-  g_free (c->from);
-  g_free (c->method);
-  g_free (c->to);
-  g_free (c->path);
-  g_free (c);
+  g_free (d->from);
+  g_free (d->method);
+  g_free (d->to);
+  g_free (d->path);
+  g_free (d);
   return FALSE;
 }
 
@@ -111,35 +112,35 @@
 fakes_send_duplicate_later (const char *from, const char *method, const char *to, const char *path,
                             json_t *body)
 {
-  Copy *c = g_new (Copy, 1);
-  *c = (Copy){ g_strdup (from), g_strdup (method), g_strdup (to), g_strdup (path),
-               json_deep_copy (body) };
-  schedule_after (exp (g_rand_double_range (fakes.rng, 0, log (60))), copy_arrives, c);
+  Duplicate *d = g_new (Duplicate, 1);
+  *d = (Duplicate){ g_strdup (from), g_strdup (method), g_strdup (to), g_strdup (path),
+                    json_deep_copy (body) };
+  schedule_after (exp (g_rand_double_range (fakes.rng, 0, log (60))), send_duplicate, d);
 }
 
-/* --- the state service ---------------------------------------------------------------------- */
+/* --- state service -------------------------------------------------------------------------- */
 typedef struct {
   json_t *value;
-  guint64 mark, lease;
+  guint64 revision, lease;
 } Entry;
 
 typedef struct {
-  gint64 until;
-  guint life_ms;
+  gint64 expires_at;
+  guint ttl_ms;
 } Lease;
 
 typedef struct {
   char *key;
   json_t *value; /* NULL: removed */
-  guint64 mark;
+  guint64 revision;
 } Change;
 
 typedef struct {
   Call *call;
   char *prefix;
-  guint64 from;
-  gint64 until;
-} Follow;
+  guint64 after;     /* revision of the last change that the watcher knows */
+  gint64 hold_until; /* us; without changes the response is sent then */
+} Watch;
 
 static void
 entry_free (gpointer p)
@@ -149,83 +150,83 @@
 }
 
 static json_t *
-changes_after (const char *prefix, guint64 from)
+changes_after (const char *prefix, guint64 revision)
 {
-  json_t *a = json_array ();
+  json_t *events = json_array ();
   guint first = fakes.changes->len;
-  while (first && g_array_index (fakes.changes, Change, first - 1).mark > from)
+  while (first && g_array_index (fakes.changes, Change, first - 1).revision > revision)
     first--;
   for (guint i = first; i < fakes.changes->len; i++) {
     Change *c = &g_array_index (fakes.changes, Change, i);
     if (!g_str_has_prefix (c->key, prefix))
       continue;
-    json_array_append_new (
-        a, c->value ? json_pack ("{ss sO sI}", "Put", c->key, "Value", c->value, "Mark",
-                                 (json_int_t) c->mark)
-                    : json_pack ("{ss sI}", "Remove", c->key, "Mark", (json_int_t) c->mark));
+    json_array_append_new (events, c->value ? json_pack ("{ss sO sI}", "Put", c->key, "Value",
+                                                         c->value, "Mark", (json_int_t) c->revision)
+                                            : json_pack ("{ss sI}", "Remove", c->key, "Mark",
+                                                         (json_int_t) c->revision));
   }
-  return a;
+  return events;
 }
 
 static gboolean
-refused (const char *from)
+is_refused (const char *from)
 {
   return fakes.outage || (from[0] == 'n' && fakes.refuse_node[atoi (from + 1)]);
 }
 
 typedef struct {
   Call *call;
-  json_t *answer;
-} LateAnswer;
+  json_t *response;
+} DelayedResponse;
 
 static gboolean
-answer_late (gpointer data)
+send_delayed_response (gpointer data)
 {
-  LateAnswer *late = data;
-  fakes_respond (late->call, 200, late->answer);
-  g_free (late);
+  DelayedResponse *delayed = data;
+  fakes_respond (delayed->call, 200, delayed->response);
+  g_free (delayed);
   return FALSE;
 }
 
-/* What has changed by now; it may be under way for long. */
+/* Responds to a watch with its events, after sim_watch_delay(). */
 static void
-answer_follow (Call *call, json_t *events)
+respond_to_watch (Call *call, json_t *events)
 {
-  LateAnswer *late = g_new (LateAnswer, 1);
-  *late = (LateAnswer){ call, json_pack ("{sI so}", "Ledger", (json_int_t) fakes.revision, "Events",
-                                         events) };
+  DelayedResponse *delayed = g_new (DelayedResponse, 1);
+  *delayed = (DelayedResponse){ call, json_pack ("{sI so}", "Ledger", (json_int_t) fakes.revision,
+                                                 "Events", events) };
   if (fakes.watch_delay_s > 0)
-    schedule_after (fakes.watch_delay_s, answer_late, late);
+    schedule_after (fakes.watch_delay_s, send_delayed_response, delayed);
   else
-    answer_late (late);
+    send_delayed_response (delayed);
 }
 
 static void
-wake_follows (void)
+notify_watches (void)
 {
   for (guint i = fakes.watches->len; i-- > 0;) {
-    Follow *f = fakes.watches->pdata[i];
-    if (refused (f->call->from))
+    Watch *w = fakes.watches->pdata[i];
+    if (is_refused (w->call->from))
       continue;
-    json_t *a = changes_after (f->prefix, f->from);
-    if (json_array_size (a) == 0 && fakes.now < f->until) {
-      json_decref (a);
+    json_t *events = changes_after (w->prefix, w->after);
+    if (json_array_size (events) == 0 && fakes.now < w->hold_until) {
+      json_decref (events);
       continue;
     }
-    answer_follow (f->call, a);
+    respond_to_watch (w->call, events);
     g_ptr_array_remove_index (fakes.watches, i);
   }
 }
 
 static gboolean
-wake_later (gpointer data)
+notify_watches_timeout (gpointer data)
 {
-  wake_follows ();
+  notify_watches ();
   return FALSE;
 }
 
 static void
-change (const char *key, json_t *value, guint64 lease)
+write_key (const char *key, json_t *value, guint64 lease)
 {
   Change c = { g_strdup (key), json_incref (value), fakes.revision };
   g_array_append_val (fakes.changes, c);
@@ -238,7 +239,7 @@
 }
 
 static void
-remove_keys_of (guint64 lease)
+remove_lease_keys (guint64 lease)
 {
   g_autoptr (GList) keys = g_hash_table_get_keys (fakes.store);
   fakes.revision++;
@@ -246,7 +247,7 @@
     Entry *e = g_hash_table_lookup (fakes.store, l->data);
     if (e->lease == lease) {
       g_autofree char *key = g_strdup (l->data);
-      change (key, NULL, 0);
+      write_key (key, NULL, 0);
     }
   }
 }
@@ -258,12 +259,12 @@
   gpointer id, value;
   g_hash_table_iter_init (&it, fakes.leases);
   while (!fakes.outage && g_hash_table_iter_next (&it, &id, &value)) {
-    if (((Lease *) value)->until > fakes.now)
+    if (((Lease *) value)->expires_at > fakes.now)
       continue;
-    remove_keys_of (*(guint64 *) id);
+    remove_lease_keys (*(guint64 *) id);
     g_hash_table_iter_remove (&it);
   }
-  wake_follows ();
+  notify_watches ();
   schedule_after (0.05, expire_leases, NULL);
   return FALSE;
 }
@@ -276,7 +277,7 @@
   fakes.outage = on;
   g_hash_table_iter_init (&it, fakes.leases);
   while (!on && g_hash_table_iter_next (&it, NULL, &value))
-    ((Lease *) value)->until = fakes.now + (gint64) ((Lease *) value)->life_ms * 1000;
+    ((Lease *) value)->expires_at = fakes.now + (gint64) ((Lease *) value)->ttl_ms * 1000;
 }
 
 guint
@@ -287,7 +288,7 @@
   guint n = 0;
   g_hash_table_iter_init (&it, fakes.store);
   while (g_hash_table_iter_next (&it, &key, &value))
-    if (g_str_has_prefix (key, RECORDS))
+    if (g_str_has_prefix (key, RECORD_PREFIX))
       n += (guint) json_object_size (((Entry *) value)->value);
   return n;
 }
@@ -297,17 +298,17 @@
 {
   json_t *v = json_loads (value, JSON_DECODE_ANY, NULL);
   fakes.revision++;
-  change (key, v, 0);
+  write_key (key, v, 0);
   json_decref (v);
-  wake_follows ();
+  notify_watches ();
 }
 
 void
 sim_state_remove (const char *key)
 {
   fakes.revision++;
-  change (key, NULL, 0);
-  wake_follows ();
+  write_key (key, NULL, 0);
+  notify_watches ();
 }
 
 json_t *
@@ -335,7 +336,7 @@
 sim_state_revision (const char *key)
 {
   const Entry *e = g_hash_table_lookup (fakes.store, key);
-  return e ? e->mark : 0;
+  return e ? e->revision : 0;
 }
 
 void
@@ -371,9 +372,9 @@
   return fakes.hold_commits;
 }
 
-/* Whether sim_hold_commits means it. */
+/* Returns whether sim_hold_commits() applies to this commit, and counts it if so. */
 static gboolean
-held_commit (const Call *c)
+must_hold_commit (const Call *c)
 {
   json_t *o;
   size_t i;
@@ -408,47 +409,47 @@
   fakes.drop_commit_responses = n;
 }
 
-/* The limits that the settings and the protocol tell. */
+/* Checks a transaction against the limits in the settings and in the protocol. */
 static void
-check_size (const Call *c, json_t *writes)
+check_limits (const Call *c, json_t *writes)
 {
   json_t *o;
   size_t i;
   g_assert_cmpuint (json_array_size (writes), <=, 12);
   g_assert_cmpuint (json_array_size (json_object_get (c->body, "When")), <=, 48);
-  if (json_dumpb (c->body, NULL, 0, JSON_COMPACT) > TXN_BYTES)
-    record_violation ("a transaction of more than %d bytes", TXN_BYTES);
+  if (json_dumpb (c->body, NULL, 0, JSON_COMPACT) > TXN_MAX_BYTES)
+    record_violation ("a transaction is larger than %d bytes", TXN_MAX_BYTES);
   json_array_foreach (writes, i, o)
   {
     json_t *v = json_object_get (o, "Value");
     if (v &&
         json_dumpb (v, NULL, 0, JSON_COMPACT | JSON_ENCODE_ANY) > fakes.options.value_kb * 1024)
-      record_violation ("a value of more than %g KiB: %s", fakes.options.value_kb,
+      record_violation ("a value is larger than %g KiB: key %s", fakes.options.value_kb,
                         json_string_value (json_object_get (o, "Put")));
   }
 }
 
 static guint64
-lease_of (json_t *write)
+write_lease (json_t *write)
 {
   return (guint64) json_integer_value (json_object_get (write, "Permit"));
 }
 
 static gboolean
-leases_stand (json_t *writes)
+leases_exist (json_t *writes)
 {
   json_t *o;
   size_t i;
   json_array_foreach (writes, i, o)
   {
-    guint64 lease = lease_of (o);
+    guint64 lease = write_lease (o);
     if (lease && !g_hash_table_contains (fakes.leases, &lease))
       return FALSE;
   }
   return TRUE;
 }
 
-/* Keys that are not at the revision which the transaction names. */
+/* Returns the keys that aren't at the revision that the transaction expects, as a JSON array. */
 static json_t *
 conflicts (const Call *c)
 {
@@ -458,13 +459,13 @@
   {
     const char *key = json_string_value (json_object_get (o, "Key"));
     Entry *e = g_hash_table_lookup (fakes.store, key);
-    if ((guint64) json_integer_value (json_object_get (o, "Mark")) != (e ? e->mark : 0))
+    if ((guint64) json_integer_value (json_object_get (o, "Mark")) != (e ? e->revision : 0))
       json_array_append_new (failed, json_string (key));
   }
   return failed;
 }
 
-/* A machine stands in one part's record at most: otherwise two owners start tasks on it. */
+/* Checks that no machine is in two machine records: two owners would start tasks on it. */
 static void
 check_records (void)
 {
@@ -475,18 +476,18 @@
   json_t *address;
   g_hash_table_iter_init (&it, fakes.store);
   while (g_hash_table_iter_next (&it, &key, &value)) {
-    if (!g_str_has_prefix (key, RECORDS))
+    if (!g_str_has_prefix (key, RECORD_PREFIX))
       continue;
     json_object_foreach (((Entry *) value)->value, id, address)
     {
       if (!g_hash_table_add (seen, (gpointer) id))
-        record_violation ("in two records: %s", id);
+        record_violation ("in two records: machine %s", id);
     }
   }
 }
 
 static void
-carry_out_writes (json_t *writes)
+apply_writes (json_t *writes)
 {
   json_t *o;
   size_t i;
@@ -496,16 +497,16 @@
   {
     const char *put = json_string_value (json_object_get (o, "Put"));
     if (put)
-      change (put, json_object_get (o, "Value"), lease_of (o));
+      write_key (put, json_object_get (o, "Value"), write_lease (o));
     else
-      change (json_string_value (json_object_get (o, "Remove")), NULL, 0);
-    records |= put && g_str_has_prefix (put, RECORDS);
+      write_key (json_string_value (json_object_get (o, "Remove")), NULL, 0);
+    records |= put && g_str_has_prefix (put, RECORD_PREFIX);
   }
   if (records)
     check_records ();
 }
 
-/* FALSE: more changes than the service takes. */
+/* Applies the rate limit for writes. Returns FALSE if the transaction exceeds it. */
 static gboolean
 within_write_limit (json_t *writes)
 {
@@ -523,12 +524,12 @@
 commit (Call *c)
 {
   json_t *writes = json_object_get (c->body, "Writes");
-  check_size (c, writes);
+  check_limits (c, writes);
   if (!within_write_limit (writes)) {
     fakes_respond (c, 429, NULL);
     return;
   }
-  if (!leases_stand (writes)) {
+  if (!leases_exist (writes)) {
     fakes_respond (c, 400, json_pack ("{ss}", "error", "no such lease"));
     return;
   }
@@ -539,16 +540,16 @@
     return;
   }
   json_decref (failed);
-  carry_out_writes (writes);
+  apply_writes (writes);
   if (fakes.drop_commit_responses)
     fakes.drop_commit_responses--;
   else
     fakes_respond (c, 200, json_pack ("{sI}", "Ledger", (json_int_t) fakes.revision));
-  schedule_after (0, wake_later, NULL);
+  schedule_after (0, notify_watches_timeout, NULL);
 }
 
 static gboolean
-commit_late (gpointer data)
+commit_delayed (gpointer data)
 {
   Call *c = data;
   if (!fakes.outage)
@@ -557,7 +558,7 @@
 }
 
 static char *
-query (const char *path, const char *name)
+query_param (const char *path, const char *name)
 {
   g_autofree char *want = g_strconcat (name, "=", NULL);
   const char *q = strchr (path, '?');
@@ -569,22 +570,22 @@
 }
 
 static int
-by_text (gconstpointer a, gconstpointer b)
+compare_strings (gconstpointer a, gconstpointer b)
 {
   return strcmp (a, b);
 }
 
 static void
-scan (Call *c)
+list_keys (Call *c)
 {
-  g_autofree char *prefix = query (c->path, "Prefix"), *after = query (c->path, "From");
-  g_autoptr (GList) keys = g_list_sort (g_hash_table_get_keys (fakes.store), by_text);
+  g_autofree char *prefix = query_param (c->path, "Prefix"), *after = query_param (c->path, "From");
+  g_autoptr (GList) keys = g_list_sort (g_hash_table_get_keys (fakes.store), compare_strings);
   json_t *items = json_array ();
   for (GList *l = keys; l; l = l->next) {
     Entry *e = g_hash_table_lookup (fakes.store, l->data);
     if (g_str_has_prefix (l->data, prefix) && (!after || strcmp (l->data, after) > 0))
       json_array_append_new (items, json_pack ("{ss sO sI}", "Key", l->data, "Value", e->value,
-                                               "Mark", (json_int_t) e->mark));
+                                               "Mark", (json_int_t) e->revision));
   }
   fakes_respond (
       c, 200,
@@ -604,42 +605,42 @@
 }
 
 static gboolean
-reads_refused (const Call *c)
+refuses_list (const Call *c)
 {
   return g_str_has_prefix (c->from, "n") && fakes.refuse_range_reads[atoi (c->from + 1)] &&
          g_str_has_prefix (c->path, "/store?");
 }
 
 static void
-state_answer (Call *c)
+handle_state_request (Call *c)
 {
   fakes.state_requests++;
-  if ((refused (c->from) && !g_str_has_prefix (c->path, "/follow")) || reads_refused (c))
+  if ((is_refused (c->from) && !g_str_has_prefix (c->path, "/follow")) || refuses_list (c))
     fakes_respond (c, 503, NULL);
   else if (g_str_has_prefix (c->path, "/store?"))
-    scan (c);
+    list_keys (c);
   else if (g_str_has_prefix (c->path, "/store/")) {
     Entry *e = g_hash_table_lookup (fakes.store, c->path + strlen ("/store/"));
     if (e)
       fakes_respond (c, 200,
                      json_pack ("{ss sO sI}", "Key", c->path + strlen ("/store/"), "Value",
-                                e->value, "Mark", (json_int_t) e->mark));
+                                e->value, "Mark", (json_int_t) e->revision));
     else
       fakes_respond (c, 404, json_pack ("{sI}", "Ledger", (json_int_t) fakes.revision));
-  } else if (g_str_equal (c->path, "/commit") && held_commit (c))
-    schedule_after (fakes.hold_commits_s, commit_late, c);
+  } else if (g_str_equal (c->path, "/commit") && must_hold_commit (c))
+    schedule_after (fakes.hold_commits_s, commit_delayed, c);
   else if (g_str_equal (c->path, "/commit") &&
            g_rand_double (fakes.rng) < fakes.delayed_commit_share)
-    schedule_after (g_rand_double_range (fakes.rng, 2, 12), commit_late, c);
+    schedule_after (g_rand_double_range (fakes.rng, 2, 12), commit_delayed, c);
   else if (g_str_equal (c->path, "/commit"))
     commit (c);
   else if (g_str_has_prefix (c->path, "/follow")) {
-    Follow *f = g_new (Follow, 1);
-    g_autofree char *from = query (c->path, "From"), *hold = query (c->path, "HoldMs");
-    *f = (Follow){ c, query (c->path, "Prefix"), g_ascii_strtoull (from, NULL, 10),
-                   fakes.now + (gint64) atoi (hold) * 1000 };
+    Watch *f = g_new (Watch, 1);
+    g_autofree char *from = query_param (c->path, "From"), *hold = query_param (c->path, "HoldMs");
+    *f = (Watch){ c, query_param (c->path, "Prefix"), g_ascii_strtoull (from, NULL, 10),
+                  fakes.now + (gint64) atoi (hold) * 1000 };
     g_ptr_array_add (fakes.watches, f);
-    wake_follows ();
+    notify_watches ();
   } else if (g_str_has_prefix (c->path, "/leases")) {
     guint64 id = g_ascii_strtoull (c->path + strlen ("/leases") + (c->path[7] == '/'), NULL, 10);
     guint ms = (guint) json_integer_value (json_object_get (c->body, "LifeMs"));
@@ -650,8 +651,8 @@
     if (g_str_equal (c->method, "DELETE")) {
       fakes.leases_revoked++;
       g_hash_table_remove (fakes.leases, &id);
-      remove_keys_of (id);
-      wake_follows ();
+      remove_lease_keys (id);
+      notify_watches ();
       fakes_respond (c, 200, NULL);
       return;
     }
@@ -665,59 +666,60 @@
     fakes_respond (c, 400, NULL);
 }
 
-/* --- machines --------------------------------------------------------------------------------- */
+/* --- machines ------------------------------------------------------------------------------- */
 typedef struct {
   char *job;
   guint index;
   guint64 attempt_id;
-  const char *state, *why; /* pulling, running, exited */
-  gint64 starts, ends;
+  const char *state, *exit_reason; /* names on the wire; state: pulling, running or exited */
+  gint64 starts_at, ends_at;
   gboolean fails;
-  gpointer on; /* its machine */
+  gpointer machine; /* the Machine that runs the task */
 } Task;
 
 typedef struct {
   char *id, *address, *zone;
-  gint64 rented, up_at;
-  gint64 began; /* its first task started; 0: not yet */
-  gboolean up, dead, sick, hangs, mute;
-  gboolean busy;        /* a report is under way */
-  double slow;          /* times as long as a job's run time; 0: as long */
-  double report_late_s; /* of the next report on its way */
+  gint64 rented_at, up_at;
+  gint64 first_task_at; /* when its first task started; 0: none yet */
+  gboolean up, dead, fail_tasks, paused, reports_stopped;
+  gboolean report_in_flight;
+  double slowdown;       /* factor on its tasks' run time; 0: none */
+  double report_delay_s; /* added to the delivery of the next report */
   guint64 session, seq, token;
-  guint unheard;
-  gint64 last_ok, next_beat, last_beat, sent;
-  guint node; /* reports to */
+  guint runs_lost;
+  gint64 lease_renewed_at, next_report_at, last_report_at, report_sent_at;
+  guint node; /* the node that it reports to */
   GPtrArray *tasks;
-  json_t *kept, *kept_before; /* reports: of at most ten seconds ago, and one before */
-  gint64 kept_at;
+  /* A report is saved every SAVED_REPORT_US at most; the older one is that saved before. */
+  json_t *saved_report, *older_report;
+  gint64 saved_report_at;
 } Machine;
 
-/* A user's job and what the checker knows of it. */
+/* A user's job and what the checker knows about it. */
 typedef struct {
   char *id, *team;
-  SimPlacement placing;
+  SimPlacement placement;
   guint tasks;
   double cpus, run_s;
   json_t *body;
-  gboolean accepted, aborting, mistaken;
-  gboolean late; /* it has not begun in time */
-  char *told;
+  gboolean accepted, cancel_requested, fail_tasks;
+  gboolean late_reported; /* a late first task was recorded as a violation */
+  char *reported_state;   /* the state that the user was told last */
   gint64 cancelled_at;
   guint8 *completed;
   guint n_completed;
-  gint64 complete_at;
-  gint64 accepted_at; /* its user was told so first */
-  gint64 answered_at; /* a question about it was answered last */
-  gint64 began_at;    /* its first task started; 0: not yet */
+  gint64 completed_at;
+  gint64 accepted_at;      /* when the user was first told that the job is accepted */
+  gint64 last_response_at; /* when a request for the job last got a response */
+  gint64 first_task_at;    /* when its first task started; 0: none yet */
   gint64 submitted_at;
-  gint64 over_at; /* when it was told that it is over */
-  gint64 room_at; /* since when it has waited beside room; 0: it does not */
-} User;
+  gint64 finished_at;       /* when the user was told that the job is done or cancelled */
+  gint64 could_start_since; /* since when it waits although it could start; 0: it does not */
+} UserJob;
 
-/* It is not on its machine any more. */
+/* Notes that the task doesn't run any more. */
 static void
-task_off (Task *t)
+unregister_running (Task *t)
 {
   g_autofree char *key = g_strdup_printf ("%s/%u", t->job, t->index);
   if (g_hash_table_lookup (fakes.running_tasks, key) == t)
@@ -727,7 +729,7 @@
 static void
 task_free (gpointer p)
 {
-  task_off (p);
+  unregister_running (p);
   g_free (((Task *) p)->job);
   g_free (p);
 }
@@ -743,14 +745,15 @@
   return NULL;
 }
 
-/* Given where the job's other tasks are; this one counts already. */
+/* Checks the job's placement rule over its running tasks, including the one that has just started.
+ */
 static void
-check_place (const Machine *m, const User *u)
+check_placement (const Machine *m, const UserJob *u)
 {
   GHashTableIter it;
   gpointer value;
-  guint here = 0, all = 0;
-  if (!u || u->placing == SIM_ANYWHERE)
+  guint in_zone = 0, all = 0;
+  if (!u || u->placement == SIM_ANYWHERE)
     return;
   g_hash_table_iter_init (&it, fakes.running_tasks);
   while (g_hash_table_iter_next (&it, NULL, &value)) {
@@ -758,57 +761,60 @@
     if (!g_str_equal (t->job, u->id))
       continue;
     all++;
-    here += g_str_equal (((Machine *) t->on)->zone, m->zone);
+    in_zone += g_str_equal (((Machine *) t->machine)->zone, m->zone);
   }
-  if (u->placing == SIM_ONE_ZONE ? here != all : here > (u->tasks + 1) / 2)
-    record_violation ("wrong_place: %s has %u of %u in %s", u->id, here, all, m->zone);
+  if (u->placement == SIM_ONE_ZONE ? in_zone != all : in_zone > (u->tasks + 1) / 2)
+    record_violation ("wrong_place: job %s has %u of its %u running tasks in zone %s", u->id,
+                      in_zone, all, m->zone);
 }
 
-/* What the rules forbid at a start: a second copy, a limit passed, a cancelled job. */
+/* Registers a task that starts, and checks that it runs nowhere else, that its team stays within
+ * its quota, and that its job is not cancelled. */
 static void
 check_start (Machine *m, Task *t)
 {
-  User *u = g_hash_table_lookup (fakes.jobs, t->job);
+  UserJob *u = g_hash_table_lookup (fakes.jobs, t->job);
   GHashTableIter it;
   gpointer value;
   double used = 0;
 
   char *key = g_strdup_printf ("%s/%u", t->job, t->index);
-  const Task *twin = g_hash_table_lookup (fakes.running_tasks, key);
+  const Task *other = g_hash_table_lookup (fakes.running_tasks, key);
 
   fakes.tasks_started++;
-  if (u && !u->began_at)
-    u->began_at = fakes.now;
-  if (twin)
-    record_violation ("ran_twice: %s on %s and %s", key, ((Machine *) twin->on)->id, m->id);
-  t->on = m;
-  if (!m->began)
-    m->began = fakes.now;
+  if (u && !u->first_task_at)
+    u->first_task_at = fakes.now;
+  if (other)
+    record_violation ("ran_twice: task %s runs on %s and %s", key, ((Machine *) other->machine)->id,
+                      m->id);
+  t->machine = m;
+  if (!m->first_task_at)
+    m->first_task_at = fakes.now;
   g_hash_table_replace (fakes.running_tasks, key, t);
   g_hash_table_iter_init (&it, fakes.running_tasks);
   while (fakes.options.team_limit > 0 && g_hash_table_iter_next (&it, NULL, &value)) {
-    User *v = g_hash_table_lookup (fakes.jobs, ((Task *) value)->job);
+    UserJob *v = g_hash_table_lookup (fakes.jobs, ((Task *) value)->job);
     if (v && u && g_str_equal (v->team, u->team))
       used += v->cpus;
   }
   if (u && fakes.options.team_limit > 0 && used > fakes.options.team_limit + 1e-6)
-    record_violation ("quota: %s uses %g", u->team, used);
-  check_place (m, u);
-  /* Stricter than the rule: none may start once its user was told. */
+    record_violation ("quota: team %s uses %g CPUs", u->team, used);
+  check_placement (m, u);
+  /* Stricter than the protocol: no task may start once the user was told of the cancellation. */
   if (u && u->cancelled_at)
-    record_violation ("started_cancelled: %s/%u starts on %s", t->job, t->index, m->id);
+    record_violation ("started_cancelled: task %s/%u starts on %s", t->job, t->index, m->id);
 }
 
 static json_t *
-report (Machine *m)
+build_report (Machine *m)
 {
   json_t *a = json_array ();
   for (guint i = 0; i < m->tasks->len; i++) {
     Task *t = m->tasks->pdata[i];
     json_t *o = json_pack ("{so sI ss}", "Shift", json_sprintf ("%s/%u", t->job, t->index),
                            "Launch", (json_int_t) t->attempt_id, "Bearing", t->state);
-    if (t->why)
-      json_object_set_new (o, "Wreck", json_string (t->why));
+    if (t->exit_reason)
+      json_object_set_new (o, "Wreck", json_string (t->exit_reason));
     json_array_append_new (a, o);
   }
   return json_pack ("{ss ss ss ss sb sI sI sI sn so}", "Berth", m->id, "Endpoint", m->address,
@@ -818,279 +824,282 @@
 }
 
 static void
-beat_soon (Machine *m)
+report_soon (Machine *m)
 {
-  m->next_beat = MIN (m->next_beat, MAX (fakes.now, m->last_beat + 500000));
+  m->next_report_at = MIN (m->next_report_at, MAX (fakes.now, m->last_report_at + 500000));
 }
 
 static void
 start_if_due (Machine *m, Task *t)
 {
-  const User *u = g_hash_table_lookup (fakes.jobs, t->job);
-  if (!g_str_equal (t->state, "pulling") || fakes.now < t->starts)
+  const UserJob *u = g_hash_table_lookup (fakes.jobs, t->job);
+  if (!g_str_equal (t->state, "pulling") || fakes.now < t->starts_at)
     return;
   t->state = "running";
   double run_s = u->run_s * g_rand_double_range (fakes.rng, 1 - fakes.options.run_time_jitter,
                                                  1 + fakes.options.run_time_jitter + 1e-9);
-  t->fails = m->sick || u->mistaken;
-  t->ends = fakes.now + (gint64) ((t->fails ? 0.2 : run_s * (m->slow > 0 ? m->slow : 1)) * 1e6);
+  t->fails = m->fail_tasks || u->fail_tasks;
+  t->ends_at =
+      fakes.now + (gint64) ((t->fails ? 0.2 : run_s * (m->slowdown > 0 ? m->slowdown : 1)) * 1e6);
   check_start (m, t);
-  beat_soon (m);
+  report_soon (m);
 }
 
 static void
-execute (Machine *m, json_t *orders)
+execute_orders (Machine *m, json_t *orders)
 {
   json_t *o;
   size_t i;
   json_array_foreach (orders, i, o)
   {
-    const char *word = json_string_value (json_object_get (o, "Order"));
+    const char *order = json_string_value (json_object_get (o, "Order"));
     const char *shift = json_string_value (json_object_get (o, "Shift"));
     const char *slash = strrchr (shift, '/');
     g_autofree char *job = g_strndup (shift, slash - shift);
     guint index = (guint) atoi (slash + 1);
     guint64 attempt_id = (guint64) json_integer_value (json_object_get (o, "Launch"));
     Task *t = task_find (m, job, index, attempt_id);
-    User *u = g_hash_table_lookup (fakes.jobs, job);
-    if (g_str_equal (word, "run") && !t) {
+    UserJob *u = g_hash_table_lookup (fakes.jobs, job);
+    if (g_str_equal (order, "run") && !t) {
       double used = 0;
-      gboolean here = FALSE;
+      gboolean has_task = FALSE;
       for (guint k = 0; k < m->tasks->len; k++) {
         Task *x = m->tasks->pdata[k];
-        User *v = g_hash_table_lookup (fakes.jobs, x->job);
+        UserJob *v = g_hash_table_lookup (fakes.jobs, x->job);
         if (g_str_equal (x->state, "exited"))
           continue;
         used += v ? v->cpus : 0;
-        here |= x->index == index && g_str_equal (x->job, job);
+        has_task |= x->index == index && g_str_equal (x->job, job);
       }
       t = g_new0 (Task, 1);
       *t = (Task){ g_strdup (job), index, attempt_id, "pulling", NULL, 0, 0, FALSE, NULL };
       g_ptr_array_add (m->tasks, t);
-      if (!u || here || used + u->cpus > fakes.options.machine_cpus + 1e-6) {
+      if (!u || has_task || used + u->cpus > fakes.options.machine_cpus + 1e-6) {
         t->state = "exited";
-        t->why = !u ? "unknown" : here ? "in_use" : "no_room";
+        t->exit_reason = !u ? "unknown" : has_task ? "in_use" : "no_room";
       } else {
-        t->starts = fakes.now + (gint64) (fakes.options.image_pull_s * 1e6);
+        t->starts_at = fakes.now + (gint64) (fakes.options.image_pull_s * 1e6);
         start_if_due (m, t);
       }
-    } else if (g_str_equal (word, "kill") && t && !g_str_equal (t->state, "exited")) {
+    } else if (g_str_equal (order, "kill") && t && !g_str_equal (t->state, "exited")) {
       t->state = "exited";
-      t->why = "stopped";
-      task_off (t);
-    } else if (g_str_equal (word, "clear") && t && g_str_equal (t->state, "exited"))
+      t->exit_reason = "stopped";
+      unregister_running (t);
+    } else if (g_str_equal (order, "clear") && t && g_str_equal (t->state, "exited"))
       g_ptr_array_remove (m->tasks, t);
     else
       continue;
-    beat_soon (m);
+    report_soon (m);
   }
 }
 
 static void
-see_token (Machine *m, guint64 token)
+note_token (Machine *m, guint64 token)
 {
   if (token > m->token) {
     m->token = token;
-    beat_soon (m);
+    report_soon (m);
   }
 }
 
 typedef struct {
   Machine *m;
   guint64 session;
-} Beat;
+} SentReport;
 
 static void
-beat_done (guint status, json_t *body, gpointer data)
+report_responded (guint status, json_t *body, gpointer data)
 {
-  Beat *b = data;
+  SentReport *b = data;
   Machine *m = b->m;
   guint64 token = (guint64) json_integer_value (json_object_get (body, "Helm"));
 
-  m->busy = FALSE;
-  if (m->hangs) { /* given up by the time it goes on */
+  m->report_in_flight = FALSE;
+  if (m->paused) { /* the report times out before the machine continues */
     g_free (b);
     return;
   }
   if (status == 200 && b->session == m->session) {
     if (token >= m->token && token) {
-      m->last_ok = m->sent;
-      see_token (m, token);
-      execute (m, json_object_get (body, "Orders"));
+      m->lease_renewed_at = m->report_sent_at;
+      note_token (m, token);
+      execute_orders (m, json_object_get (body, "Orders"));
     }
   } else if (status != 200) {
     const char *to = json_string_value (json_object_get (body, "Harbormaster"));
-    m->next_beat = fakes.now + 1000000;
+    m->next_report_at = fakes.now + 1000000;
     if (status == 421 && to && atoi (to + strlen ("berth-")) != (int) m->node) {
       m->node = (guint) atoi (to + strlen ("berth-"));
-      m->next_beat = fakes.now + 100000;
+      m->next_report_at = fakes.now + 100000;
     } else
       m->node = (m->node + 1) % fakes.options.nodes;
   }
   g_free (b);
 }
 
-/* For sim_replay_old_reports. */
-#define KEEP_US 10000000
+/* Interval at which reports are saved for sim_replay_old_reports(). */
+#define SAVED_REPORT_US 10000000
 
 static void
-keep_report (Machine *m, json_t *report)
+save_report (Machine *m, json_t *report)
 {
-  if (m->kept && fakes.now - m->kept_at < KEEP_US)
+  if (m->saved_report && fakes.now - m->saved_report_at < SAVED_REPORT_US)
     return;
-  json_decref (m->kept_before);
-  m->kept_before = m->kept;
-  m->kept = json_deep_copy (report);
-  m->kept_at = fakes.now;
+  json_decref (m->older_report);
+  m->older_report = m->saved_report;
+  m->saved_report = json_deep_copy (report);
+  m->saved_report_at = fakes.now;
 }
 
 static void
-send_old_report (Machine *m)
+replay_old_report (Machine *m)
 {
-  if (!m->kept_before)
+  if (!m->older_report)
     return;
   for (guint i = 0; i < fakes.options.nodes; i++) {
     g_autofree char *address = sim_node_address (i, SIM_CLIENT_PORT);
-    fakes_call (m->id, "POST", address, "/agent/beat", json_deep_copy (m->kept_before), 4,
-                copy_answered, NULL);
+    fakes_call (m->id, "POST", address, "/agent/beat", json_deep_copy (m->older_report), 4,
+                ignore_response, NULL);
   }
 }
 
 void
 sim_replay_old_reports (void)
 {
-  g_autoptr (GList) ids = g_list_sort (g_hash_table_get_keys (fakes.machines), by_text);
+  g_autoptr (GList) ids = g_list_sort (g_hash_table_get_keys (fakes.machines), compare_strings);
   for (GList *l = ids; l; l = l->next)
-    send_old_report (g_hash_table_lookup (fakes.machines, l->data));
+    replay_old_report (g_hash_table_lookup (fakes.machines, l->data));
 }
 
 static void
 send_report (Machine *m)
 {
   g_autofree char *address = sim_node_address (m->node, SIM_CLIENT_PORT);
-  Beat *b = g_new (Beat, 1);
-  *b = (Beat){ m, m->session };
-  m->busy = TRUE;
-  m->sent = m->last_beat = fakes.now;
-  m->next_beat = fakes.now + (gint64) (fakes.options.report_s *
-                                       g_rand_double_range (fakes.rng, 0.75, 1.25) * 1e6);
-  json_t *r = report (m);
-  keep_report (m, r);
+  SentReport *b = g_new (SentReport, 1);
+  *b = (SentReport){ m, m->session };
+  m->report_in_flight = TRUE;
+  m->report_sent_at = m->last_report_at = fakes.now;
+  m->next_report_at = fakes.now + (gint64) (fakes.options.report_s *
+                                            g_rand_double_range (fakes.rng, 0.75, 1.25) * 1e6);
+  json_t *r = build_report (m);
+  save_report (m, r);
   if (g_rand_double (fakes.rng) < fakes.options.duplicate_reports)
     fakes_send_duplicate_later (m->id, "POST", address, "/agent/beat", r);
-  fakes_call_delayed (m->id, "POST", address, "/agent/beat", r, 4, m->report_late_s, beat_done, b);
-  m->report_late_s = 0;
+  fakes_call_delayed (m->id, "POST", address, "/agent/beat", r, 4, m->report_delay_s,
+                      report_responded, b);
+  m->report_delay_s = 0;
 }
 
 static gboolean
-machine_step (gpointer data)
+update_machine (gpointer data)
 {
   Machine *m = data;
   if (m->dead)
     return FALSE;
   schedule_after (fakes.options.machine_poll_s > 0 ? fakes.options.machine_poll_s : 0.05,
-                  machine_step, m);
+                  update_machine, m);
   if (fakes.now < m->up_at)
     return FALSE;
   if (!m->up) {
     m->up = TRUE;
     m->session = 1;
-    m->last_ok = m->next_beat = fakes.now;
+    m->lease_renewed_at = m->next_report_at = fakes.now;
   }
-  if (fakes.now - m->last_ok > (gint64) (fakes.options.lease_s * 1e6)) {
+  if (fakes.now - m->lease_renewed_at > (gint64) (fakes.options.lease_s * 1e6)) {
     g_ptr_array_set_size (m->tasks, 0);
     m->session++;
-    m->last_ok = fakes.now;
-    beat_soon (m);
+    m->lease_renewed_at = fakes.now;
+    report_soon (m);
   }
-  /* Its lease runs on: it may go on only within it. */
-  if (m->hangs)
+  /* A paused machine's lease runs on: the check above ends its tasks once it has expired. */
+  if (m->paused)
     return FALSE;
   for (guint i = 0; i < m->tasks->len; i++) {
     Task *t = m->tasks->pdata[i];
-    User *u = g_hash_table_lookup (fakes.jobs, t->job);
+    UserJob *u = g_hash_table_lookup (fakes.jobs, t->job);
     start_if_due (m, t);
     if (!g_str_equal (t->state, "running"))
       continue;
     if (u && u->cancelled_at &&
         fakes.now - u->cancelled_at > (gint64) (fakes.options.cancel_s * 1e6)) {
-      record_violation ("ran_cancelled: %s/%u still on %s", t->job, t->index, m->id);
-      u->cancelled_at = G_MAXINT64 / 2; /* once */
+      record_violation ("ran_cancelled: task %s/%u still runs on %s", t->job, t->index, m->id);
+      u->cancelled_at = G_MAXINT64 / 2; /* records the violation only once */
     }
-    if (fakes.now < t->ends)
+    if (fakes.now < t->ends_at)
       continue;
     t->state = "exited";
-    t->why = t->fails ? "error" : "done";
-    task_off (t);
+    t->exit_reason = t->fails ? "error" : "done";
+    unregister_running (t);
     if (!t->fails && u && !u->completed[t->index]) {
       u->completed[t->index] = 1;
       u->n_completed++;
-      u->complete_at = fakes.now;
+      u->completed_at = fakes.now;
     }
-    beat_soon (m);
+    report_soon (m);
   }
-  if (m->busy || fakes.now < m->next_beat)
+  if (m->report_in_flight || fakes.now < m->next_report_at)
     return FALSE;
-  if (m->mute) {
+  if (m->reports_stopped) {
     m->node = (m->node + 1) % fakes.options.nodes;
-    m->next_beat = fakes.now + 1000000;
+    m->next_report_at = fakes.now + 1000000;
   } else
     send_report (m);
   return FALSE;
 }
 
-static void machine_answer (Call *c);
+static void handle_machine_request (Call *c);
 
 static gboolean
-machine_asked (gpointer call)
+retry_machine_request (gpointer call)
 {
-  machine_answer (call);
+  handle_machine_request (call);
   return FALSE;
 }
 
-/* 409: nothing was done. */
+/* Executes a POST /commands request. Returns 409, and does nothing, if the fencing token or the
+ * session is out of date. */
 static guint
-carry_out (Machine *m, Call *c)
+execute_command (Machine *m, Call *c)
 {
   guint64 token = (guint64) json_integer_value (json_object_get (c->body, "Helm"));
   guint64 session = (guint64) json_integer_value (json_object_get (c->body, "Watch"));
   if (token < m->token || session != m->session)
     return 409;
-  see_token (m, token);
-  execute (m, json_object_get (c->body, "Orders"));
+  note_token (m, token);
+  execute_orders (m, json_object_get (c->body, "Orders"));
   return 200;
 }
 
 static gboolean
-command_late (gpointer call)
+execute_command_delayed (gpointer call)
 {
   Call *c = call;
   Machine *m = g_hash_table_lookup (fakes.machines, c->to);
   if (m && !m->dead)
-    carry_out (m, c);
+    execute_command (m, c);
   return FALSE;
 }
 
 static void
-machine_answer (Call *c)
+handle_machine_request (Call *c)
 {
   Machine *m = g_hash_table_lookup (fakes.machines, c->to);
   if (!m || m->dead || !m->up)
     return;
-  if (m->hangs) { /* the asker has given up by then, the machine goes by token and session */
-    schedule_after (0.05, machine_asked, c);
+  if (m->paused) { /* retried until the machine continues; token and session are checked then */
+    schedule_after (0.05, retry_machine_request, c);
     return;
   }
   if (g_str_equal (c->path, "/show")) {
-    fakes_respond (c, 200, report (m));
+    fakes_respond (c, 200, build_report (m));
     return;
   }
   if (g_rand_double (fakes.rng) < fakes.delayed_command_share) {
-    schedule_after (g_rand_double_range (fakes.rng, 2, 16), command_late, c);
+    schedule_after (g_rand_double_range (fakes.rng, 2, 16), execute_command_delayed, c);
     return;
   }
-  guint status = carry_out (m, c);
-  fakes_respond (c, status, report (m));
+  guint status = execute_command (m, c);
+  fakes_respond (c, status, build_report (m));
 }
 
 void
@@ -1100,13 +1109,13 @@
 }
 
 static void
-machine_new (const char *zone)
+add_machine (const char *zone)
 {
   Machine *m = g_new0 (Machine, 1);
   m->zone = g_strdup (zone);
   m->id = g_strdup_printf ("host-%06u", fakes.next_machine);
   m->address = sim_machine_address (fakes.next_machine++);
-  m->rented = fakes.now;
+  m->rented_at = fakes.now;
   double least = fakes.options.boot_max_s > 0 ? fakes.options.boot_min_s : 6;
   double most = fakes.options.boot_max_s > 0 ? fakes.options.boot_max_s : 15;
   m->up_at =
@@ -1117,7 +1126,7 @@
   m->node = (guint) g_rand_int_range (fakes.rng, 0, (gint32) fakes.options.nodes);
   g_hash_table_insert (fakes.machines, m->id, m);
   fakes.machines_alive++;
-  machine_step (m);
+  update_machine (m);
 }
 
 void
@@ -1130,46 +1139,46 @@
 }
 
 void
-sim_machine_fail_tasks (const char *id, gboolean sick)
+sim_machine_fail_tasks (const char *id, gboolean on)
 {
-  ((Machine *) g_hash_table_lookup (fakes.machines, id))->sick = sick;
+  ((Machine *) g_hash_table_lookup (fakes.machines, id))->fail_tasks = on;
 }
 
 void
 sim_machine_slow_down (const char *id, double factor)
 {
-  ((Machine *) g_hash_table_lookup (fakes.machines, id))->slow = factor;
+  ((Machine *) g_hash_table_lookup (fakes.machines, id))->slowdown = factor;
 }
 
 void
 sim_machine_pause (const char *id, gboolean on)
 {
-  ((Machine *) g_hash_table_lookup (fakes.machines, id))->hangs = on;
+  ((Machine *) g_hash_table_lookup (fakes.machines, id))->paused = on;
 }
 
 void
 sim_machine_stop_reports (const char *id, gboolean on)
 {
-  ((Machine *) g_hash_table_lookup (fakes.machines, id))->mute = on;
+  ((Machine *) g_hash_table_lookup (fakes.machines, id))->reports_stopped = on;
 }
 
 void
 sim_delay_next_report (const char *id, double seconds)
 {
-  ((Machine *) g_hash_table_lookup (fakes.machines, id))->report_late_s = seconds;
+  ((Machine *) g_hash_table_lookup (fakes.machines, id))->report_delay_s = seconds;
 }
 
 double
 sim_lease_renewed_at (const char *id)
 {
   const Machine *m = g_hash_table_lookup (fakes.machines, id);
-  return (double) m->last_ok / 1e6;
+  return (double) m->lease_renewed_at / 1e6;
 }
 
 gboolean
 sim_report_in_flight (const char *id)
 {
-  return ((Machine *) g_hash_table_lookup (fakes.machines, id))->busy;
+  return ((Machine *) g_hash_table_lookup (fakes.machines, id))->report_in_flight;
 }
 
 void
@@ -1200,7 +1209,7 @@
   while (g_hash_table_iter_next (&it, NULL, &value)) {
     const Machine *m = value;
     if (!m->up && !m->dead)
-      most = MAX (most, fakes.now - m->rented);
+      most = MAX (most, fakes.now - m->rented_at);
   }
   return most / 1e6;
 }
@@ -1208,7 +1217,7 @@
 char **
 sim_machine_names (const char *zone)
 {
-  g_autoptr (GList) ids = g_list_sort (g_hash_table_get_keys (fakes.machines), by_text);
+  g_autoptr (GList) ids = g_list_sort (g_hash_table_get_keys (fakes.machines), compare_strings);
   GPtrArray *names = g_ptr_array_new ();
   for (GList *l = ids; l; l = l->next) {
     const Machine *m = g_hash_table_lookup (fakes.machines, l->data);
@@ -1244,13 +1253,13 @@
   while (g_hash_table_iter_next (&it, NULL, &value)) {
     const Machine *m = value;
     if (m->up && !m->dead)
-      most = MAX (most, ((m->began ? m->began : fakes.now) - m->up_at) / 1e6);
+      most = MAX (most, ((m->first_task_at ? m->first_task_at : fakes.now) - m->up_at) / 1e6);
   }
   return most;
 }
 
 static const char *
-by_tasks (gboolean most)
+find_by_task_count (gboolean most)
 {
   GHashTableIter it;
   gpointer value;
@@ -1271,7 +1280,7 @@
 {
   Machine *m = g_hash_table_lookup (fakes.machines, machine);
   if (m)
-    m->unheard++;
+    m->runs_lost++;
 }
 
 guint
@@ -1282,20 +1291,20 @@
   guint n = 0;
   g_hash_table_iter_init (&it, fakes.machines);
   while (g_hash_table_iter_next (&it, NULL, &value))
-    n += !id || g_str_equal (((Machine *) value)->id, id) ? ((Machine *) value)->unheard : 0;
+    n += !id || g_str_equal (((Machine *) value)->id, id) ? ((Machine *) value)->runs_lost : 0;
   return n;
 }
 
 const char *
 sim_busiest_machine (void)
 {
-  return by_tasks (TRUE);
+  return find_by_task_count (TRUE);
 }
 
 const char *
 sim_least_busy_machine (void)
 {
-  return by_tasks (FALSE);
+  return find_by_task_count (FALSE);
 }
 
 gboolean
@@ -1328,10 +1337,9 @@
   return n;
 }
 
-/* --- the cloud ---------------------------------------------------------------------------------
- */
+/* --- cloud ---------------------------------------------------------------------------------- */
 static void
-cloud_answer (Call *c)
+handle_cloud_request (Call *c)
 {
   json_t *o, *a = json_array ();
   size_t i;
@@ -1355,32 +1363,33 @@
     }
     fakes_respond (c, 200, json_object ());
   } else if (g_str_equal (c->path, "/rentals")) {
-    const char *charter = json_string_value (json_object_get (c->body, "Charter"));
-    json_t *known = g_hash_table_lookup (fakes.rentals, charter);
+    const char *request_name = json_string_value (json_object_get (c->body, "Charter"));
+    json_t *machine_ids = g_hash_table_lookup (fakes.rentals, request_name);
     guint n = (guint) json_integer_value (json_object_get (c->body, "Number"));
-    if (!known) {
-      known = json_array ();
+    if (!machine_ids) {
+      machine_ids = json_array ();
       for (guint k = 0; k < n && sim_machine_count () < fakes.options.max_machines; k++) {
-        json_array_append_new (known, json_sprintf ("host-%06u", fakes.next_machine));
-        machine_new (json_string_value (json_object_get (c->body, "Harbor")));
+        json_array_append_new (machine_ids, json_sprintf ("host-%06u", fakes.next_machine));
+        add_machine (json_string_value (json_object_get (c->body, "Harbor")));
       }
-      if (json_array_size (known) == 0) {
+      if (json_array_size (machine_ids) == 0) {
         fakes_respond (c, 503, json_pack ("{ss}", "error", "no capacity"));
         return;
       }
-      g_hash_table_insert (fakes.rentals, g_strdup (charter), known);
+      g_hash_table_insert (fakes.rentals, g_strdup (request_name), machine_ids);
     }
-    fakes_respond (c, 200, json_pack ("{sO}", "Berths", known));
+    fakes_respond (c, 200, json_pack ("{sO}", "Berths", machine_ids));
   } else {
-    g_autoptr (GList) ids = g_list_sort (g_hash_table_get_keys (fakes.machines), by_text);
+    g_autoptr (GList) ids = g_list_sort (g_hash_table_get_keys (fakes.machines), compare_strings);
     for (GList *l = ids; l; l = l->next) {
       Machine *m = g_hash_table_lookup (fakes.machines, l->data);
-      /* Two seconds old: new ones are missing, and dead ones still there only for that long. */
-      if (!m->dead && fakes.now - m->rented > 2000000)
-        json_array_append_new (
-            a, json_pack ("{ss ss ss ss sb ss sf}", "Id", m->id, "Endpoint", m->address, "Hull",
-                          "t8", "Harbor", m->zone, "Driftwood", 1, "Bearing",
-                          m->up ? "running" : "starting", "HeldS", (fakes.now - m->rented) / 1e6));
+      /* The list lags by two seconds for new machines: they are missing until then. */
+      if (!m->dead && fakes.now - m->rented_at > 2000000)
+        json_array_append_new (a,
+                               json_pack ("{ss ss ss ss sb ss sf}", "Id", m->id, "Endpoint",
+                                          m->address, "Hull", "t8", "Harbor", m->zone, "Driftwood",
+                                          1, "Bearing", m->up ? "running" : "starting", "HeldS",
+                                          (fakes.now - m->rented_at) / 1e6));
     }
     fakes_respond (c, 200, json_pack ("{sO sb}", "Berths", a, "More", 0));
   }
@@ -1391,24 +1400,23 @@
 fakes_handle_request (Call *c)
 {
   if (g_str_equal (c->to, "state"))
-    state_answer (c);
+    handle_state_request (c);
   else if (g_str_equal (c->to, "cloud") && fakes.cloud_outage) {
     if (g_str_equal (c->path, "/rentals/delete"))
       fakes.refused_deletions += (guint) json_array_size (json_object_get (c->body, "Berths"));
-    fakes_respond (c, 503, json_pack ("{ss}", "error", "trouble"));
+    fakes_respond (c, 503, json_pack ("{ss}", "error", "service unavailable"));
   } else if (g_str_equal (c->to, "cloud"))
-    cloud_answer (c);
+    handle_cloud_request (c);
   else if (g_str_has_prefix (c->to, "host-"))
-    machine_answer (c);
+    handle_machine_request (c);
 }
 
-/* --- users --------------------------------------------------------------------------------------
- */
-static gboolean user_step (gpointer data);
+/* --- users ---------------------------------------------------------------------------------- */
+static gboolean send_next_request (gpointer data);
 
-/* Any node that lives, as the balancer would choose. */
+/* Returns the address of a random live node, as a load balancer would choose it. */
 static char *
-some_node (void)
+random_live_node (void)
 {
   guint n = (guint) g_rand_int_range (fakes.rng, 0, (gint32) fakes.options.nodes);
   for (guint i = 0; i < fakes.options.nodes && !sim_node_alive (n); i++)
@@ -1416,26 +1424,27 @@
   return sim_node_address (n, SIM_CLIENT_PORT);
 }
 
-/* No question about it answered for 75 s, although there are no troubles. */
+/* Records a violation if an accepted job's user has had no response for 75 s, counted from the last
+ * fault at the earliest. */
 static void
-check_known (User *u)
+check_response_age (UserJob *u)
 {
   if (!fakes.faults_over_at || !u->accepted ||
-      fakes.now - MAX (u->answered_at, fakes.faults_over_at) <= 75000000)
+      fakes.now - MAX (u->last_response_at, fakes.faults_over_at) <= 75000000)
     return;
-  record_violation ("forgotten: no answer about %s for 75 s", u->id);
-  u->answered_at = fakes.now;
+  record_violation ("forgotten: no response about job %s for 75 s", u->id);
+  u->last_response_at = fakes.now;
 }
 
 static gboolean
-over (const User *u)
+is_finished (const UserJob *u)
 {
-  return g_str_equal (u->told, "done") || g_str_equal (u->told, "cancelled");
+  return g_str_equal (u->reported_state, "done") || g_str_equal (u->reported_state, "cancelled");
 }
 
-/* Tasks of a job that are fetching or running, in a zone or (zone NULL) on a machine. */
+/* Counts the job's tasks that haven't exited, in a zone or (NULL) on the machine `only`. */
 static guint
-tasks_in (const User *u, const char *zone, const Machine *only)
+count_tasks (const UserJob *u, const char *zone, const Machine *only)
 {
   GHashTableIter it;
   gpointer value;
@@ -1453,59 +1462,61 @@
   return n;
 }
 
-/* Of a team, or on a machine: what is fetching or running. */
+/* Returns the CPUs of the machine's tasks that haven't exited, of one team or (NULL) of all. */
 static double
 cpus_in_use (const Machine *m, const char *team)
 {
   double used = 0;
   for (guint i = 0; i < m->tasks->len; i++) {
     const Task *t = m->tasks->pdata[i];
-    const User *u = g_hash_table_lookup (fakes.jobs, t->job);
+    const UserJob *u = g_hash_table_lookup (fakes.jobs, t->job);
     if (u && !g_str_equal (t->state, "exited") && (!team || g_str_equal (u->team, team)))
       used += u->cpus;
   }
   return used;
 }
 
-/* Whether a task of it could start now: not all are done or on machines, its team is under its
- * limit, and a machine that fits has room. */
+/* Returns whether a task of the job could start now: not all are completed or on machines, its team
+ * is within its quota, and a machine with enough free CPUs satisfies the placement rule. */
 static gboolean
-could_start (const User *u)
+could_start (const UserJob *u)
 {
   GHashTableIter it;
   gpointer value;
-  double team = 0;
-  guint on = 0, here, most = (u->tasks + 1) / 2;
+  double team_cpus = 0;
+  guint on_machines = 0, in_zone, most = (u->tasks + 1) / 2;
   gboolean room = FALSE;
 
   g_hash_table_iter_init (&it, fakes.machines);
   while (g_hash_table_iter_next (&it, NULL, &value)) {
-    team += cpus_in_use (value, u->team);
-    on += tasks_in (u, NULL, value);
+    team_cpus += cpus_in_use (value, u->team);
+    on_machines += count_tasks (u, NULL, value);
   }
-  if (u->n_completed + on >= u->tasks ||
-      (fakes.options.team_limit > 0 && team + u->cpus > fakes.options.team_limit + 1e-6))
+  if (u->n_completed + on_machines >= u->tasks ||
+      (fakes.options.team_limit > 0 && team_cpus + u->cpus > fakes.options.team_limit + 1e-6))
     return FALSE;
   g_hash_table_iter_init (&it, fakes.machines);
   while (g_hash_table_iter_next (&it, NULL, &value)) {
     const Machine *m = value;
-    here = tasks_in (u, m->zone, NULL);
+    in_zone = count_tasks (u, m->zone, NULL);
     room |= m->up && !m->dead &&
             cpus_in_use (m, NULL) + u->cpus <= fakes.options.machine_cpus + 1e-6 &&
-            (u->placing != SIM_ONE_ZONE || here == on) && (u->placing != SIM_SPREAD || here < most);
+            (u->placement != SIM_ONE_ZONE || in_zone == on_machines) &&
+            (u->placement != SIM_SPREAD || in_zone < most);
   }
   return room;
 }
 
-/* The largest jobs have to begin within four minutes, and so does every other here. */
+/* Checks that a job's first task starts within 240 s. The rule is for the largest jobs; the checker
+ * applies it to all. */
 static void
-check_begun (User *u)
+check_first_task (UserJob *u)
 {
-  if (u->began_at || !u->accepted || u->aborting || u->late ||
+  if (u->first_task_at || !u->accepted || u->cancel_requested || u->late_reported ||
       fakes.now - MAX (u->submitted_at, fakes.faults_over_at) <= 240000000)
     return;
-  record_violation ("not_begun: nothing of %s for 240 s", u->id);
-  u->late = TRUE;
+  record_violation ("not_begun: no task of job %s started within 240 s", u->id);
+  u->late_reported = TRUE;
 }
 
 static gboolean
@@ -1516,17 +1527,17 @@
   schedule_after (1, check_waiting, NULL);
   g_hash_table_iter_init (&it, fakes.jobs);
   while (g_hash_table_iter_next (&it, NULL, &value)) {
-    User *u = value;
-    check_begun (u);
-    if (!u->accepted || u->aborting || over (u) || !could_start (u)) {
-      u->room_at = 0;
+    UserJob *u = value;
+    check_first_task (u);
+    if (!u->accepted || u->cancel_requested || is_finished (u) || !could_start (u)) {
+      u->could_start_since = 0;
       continue;
     }
-    if (!u->room_at)
-      u->room_at = fakes.now;
-    if (fakes.now - u->room_at > 90000000) {
-      record_violation ("waits: %s for 90 s beside room", u->id);
-      u->room_at = fakes.now;
+    if (!u->could_start_since)
+      u->could_start_since = fakes.now;
+    if (fakes.now - u->could_start_since > 90000000) {
+      record_violation ("waits: job %s waited for 90 s although it could start", u->id);
+      u->could_start_since = fakes.now;
     }
   }
   return FALSE;
@@ -1544,268 +1555,273 @@
 double
 sim_time_to_first_task (const char *id)
 {
-  const User *u = g_hash_table_lookup (fakes.jobs, id);
-  return u->began_at ? (u->began_at - u->submitted_at) / 1e6 : -1;
+  const UserJob *u = g_hash_table_lookup (fakes.jobs, id);
+  return u->first_task_at ? (u->first_task_at - u->submitted_at) / 1e6 : -1;
 }
 
-static void look_everywhere (User *u);
+static void poll_all_nodes (UserJob *u);
 
 static void
-tell (User *u, const char *word, gint64 asked_at)
-{
-  gboolean final = over (u);
-  u->answered_at = fakes.now;
-  if (final && asked_at < u->over_at)
-    return; /* asked before: the two answers overtook each other */
-  if (final && !g_str_equal (u->told, word))
-    record_violation ("went_back: %s was %s, is %s", u->id, u->told, word);
-  if (g_str_equal (word, "done") && u->n_completed < u->tasks)
-    record_violation ("not_done: %s with %u of %u", u->id, u->n_completed, u->tasks);
-  if (g_str_equal (word, "cancelled") && !u->aborting)
+note_state (UserJob *u, const char *state, gint64 sent_at)
+{
+  gboolean final = is_finished (u);
+  u->last_response_at = fakes.now;
+  if (final && sent_at < u->finished_at)
+    return; /* the request is older than the final response, which has overtaken this one */
+  if (final && !g_str_equal (u->reported_state, state))
+    record_violation ("went_back: %s was %s, is %s", u->id, u->reported_state, state);
+  if (g_str_equal (state, "done") && u->n_completed < u->tasks)
+    record_violation ("not_done: job %s is reported done with %u of %u tasks completed", u->id,
+                      u->n_completed, u->tasks);
+  if (g_str_equal (state, "cancelled") && !u->cancel_requested)
     record_violation ("went_back: %s was not cancelled by its user", u->id);
-  if (g_str_equal (word, "cancelled") && !u->cancelled_at)
+  if (g_str_equal (state, "cancelled") && !u->cancelled_at)
     u->cancelled_at = fakes.now;
-  g_free (u->told);
-  u->told = g_strdup (word);
-  if (!final && over (u)) {
-    u->over_at = fakes.now;
-    look_everywhere (u);
+  g_free (u->reported_state);
+  u->reported_state = g_strdup (state);
+  if (!final && is_finished (u)) {
+    u->finished_at = fakes.now;
+    poll_all_nodes (u);
   }
 }
 
-/* One of the questions that users ask at all nodes right after news. */
+/* One of the requests that a user sends to all nodes once the job is accepted, and once it is over.
+ */
 typedef struct {
-  User *user;
+  UserJob *user;
   guint node;
-  gboolean submits; /* it repeats the submission */
-  gint64 asked_at;
-} Look;
+  gboolean submits; /* repeats the submission instead of polling */
+  gint64 sent_at;
+} ExtraRequest;
 
 static void
-looked (guint status, json_t *body, gpointer data)
+extra_request_responded (guint status, json_t *body, gpointer data)
 {
-  g_autofree Look *look = data;
-  User *u = look->user;
-  const char *word = json_string_value (json_object_get (body, "Bearing"));
+  g_autofree ExtraRequest *extra = data;
+  UserJob *u = extra->user;
+  const char *state = json_string_value (json_object_get (body, "Bearing"));
   if (status == 400 || status == 404 || status == 422)
-    record_violation ("forgotten: %s gets %u at n%u", u->id, status, look->node);
-  else if (status == 200 && word)
-    tell (u, word, look->asked_at);
+    record_violation ("forgotten: request for job %s gets status %u from n%u", u->id, status,
+                      extra->node);
+  else if (status == 200 && state)
+    note_state (u, state, extra->sent_at);
 }
 
 static gboolean
-look (gpointer data)
-{
-  Look *l = data;
-  g_autofree char *address = sim_node_address (l->node, SIM_CLIENT_PORT);
-  g_autofree char *poll = g_strdup_printf ("/api/jobs/%s", l->user->id);
-  l->asked_at = fakes.now;
-  if (l->submits)
-    fakes_call ("user", "POST", address, "/api/jobs", json_incref (l->user->body), 5, looked, l);
+send_extra_request (gpointer data)
+{
+  ExtraRequest *extra = data;
+  g_autofree char *address = sim_node_address (extra->node, SIM_CLIENT_PORT);
+  g_autofree char *poll = g_strdup_printf ("/api/jobs/%s", extra->user->id);
+  extra->sent_at = fakes.now;
+  if (extra->submits)
+    fakes_call ("user", "POST", address, "/api/jobs", json_incref (extra->user->body), 5,
+                extra_request_responded, extra);
   else
-    fakes_call ("user", "GET", address, poll, NULL, 2, looked, l);
+    fakes_call ("user", "GET", address, poll, NULL, 2, extra_request_responded, extra);
   return FALSE;
 }
 
 static void
-look_everywhere (User *u)
+poll_all_nodes (UserJob *u)
 {
   for (guint i = 0; fakes.options.poll_after_change && i < 2 * fakes.options.nodes; i++) {
-    Look *l = g_new (Look, 1);
-    *l = (Look){ u, i / 2, i % 2, 0 };
-    schedule_after (g_rand_double_range (fakes.rng, 0, 0.02), look, l);
+    ExtraRequest *extra = g_new (ExtraRequest, 1);
+    *extra = (ExtraRequest){ u, i / 2, i % 2, 0 };
+    schedule_after (g_rand_double_range (fakes.rng, 0, 0.02), send_extra_request, extra);
   }
 }
 
 static void
-accept (User *u)
+note_accepted (UserJob *u)
 {
   gboolean first = !u->accepted;
   u->accepted = TRUE;
-  u->answered_at = fakes.now;
+  u->last_response_at = fakes.now;
   if (!first)
     return;
   u->accepted_at = fakes.now;
-  look_everywhere (u);
+  poll_all_nodes (u);
 }
 
-/* Its user wants it cancelled, and was not yet told that it is. */
+/* Returns whether the user has asked for the cancellation and not been told that the job is over.
+ */
 static gboolean
-cancelling (const User *u)
+is_cancelling (const UserJob *u)
 {
-  return u->aborting && !over (u);
+  return u->cancel_requested && !is_finished (u);
 }
 
-/* A question of a user on its way. Each has its own time: several may be on their way at once, and
- * an answer that was overtaken by a newer question's is none that goes back. */
+/* A user's request in flight. Each has its own time: several may be in flight at once, and a
+ * response that a newer request's has overtaken is no step back in the job's state. */
 typedef struct {
-  User *user;
-  gint64 asked_at;
-} Question;
+  UserJob *user;
+  gint64 sent_at;
+} UserRequest;
 
-static Question *
-question_new (User *u)
+static UserRequest *
+user_request_new (UserJob *u)
 {
-  Question *question = g_new (Question, 1);
-  *question = (Question){ u, fakes.now };
-  return question;
+  UserRequest *request = g_new (UserRequest, 1);
+  *request = (UserRequest){ u, fakes.now };
+  return request;
 }
 
 static void
-polled (guint status, json_t *body, gpointer data)
+poll_responded (guint status, json_t *body, gpointer data)
 {
-  g_autofree Question *question = data;
-  User *u = question->user;
-  const char *word = json_string_value (json_object_get (body, "Bearing"));
-  if (status == 200 && word)
-    tell (u, word, question->asked_at);
+  g_autofree UserRequest *request = data;
+  UserJob *u = request->user;
+  const char *state = json_string_value (json_object_get (body, "Bearing"));
+  if (status == 200 && state)
+    note_state (u, state, request->sent_at);
   else if (status == 404)
-    record_violation ("forgotten: %s gets 404", u->id);
-  schedule_after (cancelling (u) ? 1 : 5, user_step, u);
+    record_violation ("forgotten: poll of job %s gets status 404", u->id);
+  schedule_after (is_cancelling (u) ? 1 : 5, send_next_request, u);
 }
 
 static void
-submitted (guint status, json_t *body, gpointer data)
+submit_responded (guint status, json_t *body, gpointer data)
 {
-  g_autofree Question *question = data;
-  User *u = question->user;
-  const char *word = json_string_value (json_object_get (body, "Bearing"));
+  g_autofree UserRequest *request = data;
+  UserJob *u = request->user;
+  const char *state = json_string_value (json_object_get (body, "Bearing"));
   if (status == 200 || status == 201) {
-    accept (u);
-    if (word)
-      tell (u, word, question->asked_at);
+    note_accepted (u);
+    if (state)
+      note_state (u, state, request->sent_at);
   } else if (u->accepted && (status == 400 || status == 422))
-    record_violation ("forgotten: %s is refused", u->id);
-  schedule_after (u->accepted && !cancelling (u) ? 5 : 1, user_step, u);
+    record_violation ("forgotten: repeated submission of job %s is rejected", u->id);
+  schedule_after (u->accepted && !is_cancelling (u) ? 5 : 1, send_next_request, u);
 }
 
 static void
-note_answer (const Question *question, guint status, json_t *body)
+note_response (const UserRequest *request, guint status, json_t *body)
 {
-  const char *word = json_string_value (json_object_get (body, "Bearing"));
-  if (status == 200 && word)
-    tell (question->user, word, question->asked_at);
+  const char *state = json_string_value (json_object_get (body, "Bearing"));
+  if (status == 200 && state)
+    note_state (request->user, state, request->sent_at);
 }
 
 static void
-answered (guint status, json_t *body, gpointer data)
+extra_responded (guint status, json_t *body, gpointer data)
 {
-  g_autofree Question *question = data;
-  note_answer (question, status, body);
+  g_autofree UserRequest *request = data;
+  note_response (request, status, body);
 }
 
 static void
-user_aborted (guint status, json_t *body, gpointer data)
+cancel_responded (guint status, json_t *body, gpointer data)
 {
-  g_autofree Question *question = data;
-  note_answer (question, status, body);
-  schedule_after (1, user_step, question->user);
+  g_autofree UserRequest *request = data;
+  note_response (request, status, body);
+  schedule_after (1, send_next_request, request->user);
 }
 
 static void
-ask_abort (User *u, const char *node, KrHttpResponseFunc reply)
+request_cancel (UserJob *u, const char *node, KrHttpResponseFunc reply)
 {
   g_autofree char *path = g_strdup_printf ("/api/jobs/%s/abort", u->id);
-  fakes_call ("user", "POST", node, path, NULL, 5, reply, question_new (u));
+  fakes_call ("user", "POST", node, path, NULL, 5, reply, user_request_new (u));
 }
 
 static gboolean
-user_step (gpointer data)
+send_next_request (gpointer data)
 {
-  User *u = data;
-  g_autofree char *node = some_node ();
+  UserJob *u = data;
+  g_autofree char *node = random_live_node ();
   g_autofree char *poll = g_strdup_printf ("/api/jobs/%s", u->id);
   gint turn = g_rand_int_range (fakes.rng, 0, 3);
-  check_known (u);
-  if (u->accepted && cancelling (u) && turn == 0)
-    ask_abort (u, node, user_aborted);
-  else if (!u->accepted || (cancelling (u) && turn == 1))
-    fakes_call ("user", "POST", node, "/api/jobs", json_incref (u->body), 5, submitted,
-                question_new (u));
+  check_response_age (u);
+  if (u->accepted && is_cancelling (u) && turn == 0)
+    request_cancel (u, node, cancel_responded);
+  else if (!u->accepted || (is_cancelling (u) && turn == 1))
+    fakes_call ("user", "POST", node, "/api/jobs", json_incref (u->body), 5, submit_responded,
+                user_request_new (u));
   else
-    fakes_call ("user", "GET", node, poll, NULL, 2, polled, question_new (u));
+    fakes_call ("user", "GET", node, poll, NULL, 2, poll_responded, user_request_new (u));
   return FALSE;
 }
 
 static void
-submit (const char *id, const char *team, const char *rank, guint tasks, double cpus, double run_s,
-        double deadline_s, SimPlacement placing)
+add_user_job (const char *id, const char *team, const char *rank, guint tasks, double cpus,
+              double run_s, double deadline_s, SimPlacement placement)
 {
-  User *u = g_new0 (User, 1);
+  UserJob *u = g_new0 (UserJob, 1);
   u->id = g_strdup (id);
   u->team = g_strdup (team);
   u->tasks = tasks;
   u->cpus = cpus;
   u->run_s = run_s;
-  u->placing = placing;
-  u->told = g_strdup ("");
+  u->placement = placement;
+  u->reported_state = g_strdup ("");
   u->submitted_at = fakes.now;
   u->completed = g_malloc0 (tasks);
   u->body = json_pack ("{ss ss ss ss ss sI sf sf sf ss sf sn sn sb sb sb sf sf sf sf}", "Id", id,
                        "Lane", "l", "Crew", team, "Form", "array", "Rank", rank, "Shifts",
                        (json_int_t) tasks, "Cores", cpus, "Accelerators", 0.0, "MemGb", 1.0,
                        "Cargo", "img", "PullGb", 0.0, "Hulls", "Harbor", "OneZone",
-                       placing == SIM_ONE_ZONE, "Apart", placing == SIM_SPREAD, "Driftwood", 1,
+                       placement == SIM_ONE_ZONE, "Apart", placement == SIM_SPREAD, "Driftwood", 1,
                        "SailS", run_s, "MooringS", 0.0, "StowS", 0.0, "TideS", deadline_s);
   g_hash_table_insert (fakes.jobs, u->id, u);
-  user_step (u);
+  send_next_request (u);
 }
 
 void
 sim_submit (const char *id, const char *team, const char *rank, guint tasks, double cpus,
             double run_s, double deadline_s)
 {
-  submit (id, team, rank, tasks, cpus, run_s, deadline_s, SIM_ANYWHERE);
+  add_user_job (id, team, rank, tasks, cpus, run_s, deadline_s, SIM_ANYWHERE);
 }
 
 void
 sim_submit_placed (const char *id, const char *team, guint tasks, double cpus, double run_s,
-                   SimPlacement placing)
+                   SimPlacement placement)
 {
-  submit (id, team, "normal", tasks, cpus, run_s, 600, placing);
+  add_user_job (id, team, "normal", tasks, cpus, run_s, 600, placement);
 }
 
 void
 sim_poll_at (const char *id, guint node)
 {
-  User *u = g_hash_table_lookup (fakes.jobs, id);
+  UserJob *u = g_hash_table_lookup (fakes.jobs, id);
   g_autofree char *address = sim_node_address (node, SIM_CLIENT_PORT);
   g_autofree char *path = g_strdup_printf ("/api/jobs/%s", id);
-  fakes_call ("user", "GET", address, path, NULL, 5, answered, question_new (u));
+  fakes_call ("user", "GET", address, path, NULL, 5, extra_responded, user_request_new (u));
 }
 
 void
 sim_job_fail_tasks (const char *id, gboolean on)
 {
-  ((User *) g_hash_table_lookup (fakes.jobs, id))->mistaken = on;
+  ((UserJob *) g_hash_table_lookup (fakes.jobs, id))->fail_tasks = on;
 }
 
 static void
-start_abort (const char *id, const char *node)
+start_cancel (const char *id, const char *node)
 {
-  User *u = g_hash_table_lookup (fakes.jobs, id);
-  u->aborting = TRUE;
-  ask_abort (u, node, answered); /* now; user_step goes on */
+  UserJob *u = g_hash_table_lookup (fakes.jobs, id);
+  u->cancel_requested = TRUE;
+  request_cancel (u, node, extra_responded); /* send_next_request() repeats it */
 }
 
 void
 sim_cancel (const char *id)
 {
-  g_autofree char *node = some_node ();
-  start_abort (id, node);
+  g_autofree char *node = random_live_node ();
+  start_cancel (id, node);
 }
 
 void
 sim_cancel_at (const char *id, guint node)
 {
   g_autofree char *address = sim_node_address (node, SIM_CLIENT_PORT);
-  start_abort (id, address);
+  start_cancel (id, address);
 }
 
 const char *
 sim_reported_state (const char *id)
 {
-  return ((User *) g_hash_table_lookup (fakes.jobs, id))->told;
+  return ((UserJob *) g_hash_table_lookup (fakes.jobs, id))->reported_state;
 }
 
 gboolean
@@ -1815,37 +1831,37 @@
   gpointer value;
   g_hash_table_iter_init (&it, fakes.jobs);
   while (g_hash_table_iter_next (&it, NULL, &value)) {
-    if (!over (value))
+    if (!is_finished (value))
       return FALSE;
   }
   return TRUE;
 }
 
 typedef struct {
-  gboolean over;
+  gboolean done;
   guint status;
-} Asked;
+} SyncResponse;
 
 static void
-asked (guint status, json_t *body, gpointer data)
+sync_responded (guint status, json_t *body, gpointer data)
 {
-  *(Asked *) data = (Asked){ TRUE, status };
+  *(SyncResponse *) data = (SyncResponse){ TRUE, status };
 }
 
 static guint
-request (guint node, guint port, const char *method, const char *path, const char *body)
+request_and_wait (guint node, guint port, const char *method, const char *path, const char *body)
 {
   g_autofree char *address = sim_node_address (node, port);
-  Asked a = { FALSE, 0 };
-  fakes_call ("user", method, address, path, body ? json_loads (body, 0, NULL) : NULL, 5, asked,
-              &a);
-  while (!a.over)
+  SyncResponse a = { FALSE, 0 };
+  fakes_call ("user", method, address, path, body ? json_loads (body, 0, NULL) : NULL, 5,
+              sync_responded, &a);
+  while (!a.done)
     sim_run (0.01);
   return a.status;
 }
 
 static void
-count_answer (guint status, json_t *body, gpointer data)
+count_response (guint status, json_t *body, gpointer data)
 {
   fakes.response_counts[status]++;
 }
@@ -1855,7 +1871,7 @@
 {
   g_autofree char *address = sim_node_address (node, SIM_CLIENT_PORT);
   fakes_call ("user", method, address, path, body ? json_loads (body, 0, NULL) : NULL, 5,
-              count_answer, NULL);
+              count_response, NULL);
 }
 
 guint
@@ -1867,13 +1883,13 @@
 guint
 sim_request (guint node, const char *method, const char *path, const char *body)
 {
-  return request (node, SIM_CLIENT_PORT, method, path, body);
+  return request_and_wait (node, SIM_CLIENT_PORT, method, path, body);
 }
 
 guint
 sim_peer_request (guint node, const char *method, const char *path, const char *body)
 {
-  return request (node, SIM_PEER_PORT, method, path, body);
+  return request_and_wait (node, SIM_PEER_PORT, method, path, body);
 }
 static json_t *
 address_json (char *address)
@@ -1908,7 +1924,7 @@
       "resources", "core_share", 0.1, "ram_mb", 60.0, "sockets", 900);
 }
 
-/* --- life ------------------------------------------------------------------------------------ */
+/* --- start and stop ------------------------------------------------------------------------- */
 void
 fakes_start (guint32 seed, const SimOptions *options)
 {
--- a/tests/sim.h
+++ b/tests/sim.h
@@ -92,7 +92,7 @@
 void sim_replay_old_reports (void);
 void sim_machine_kill (const char *id);
 /* Tasks that start on the machine fail. */
-void sim_machine_fail_tasks (const char *id, gboolean sick);
+void sim_machine_fail_tasks (const char *id, gboolean on);
 /* Tasks that start on the machine take that many times as long. */
 void sim_machine_slow_down (const char *id, double factor);
 /* Pauses the machine. Its clocks run on, and requests to it are delivered when it continues. */
@@ -144,7 +144,7 @@
 typedef enum { SIM_ANYWHERE, SIM_ONE_ZONE, SIM_SPREAD } SimPlacement;
 /* As sim_submit(), with a placement rule. */
 void sim_submit_placed (const char *id, const char *team, guint tasks, double cpus, double run_s,
-                        SimPlacement placing);
+                        SimPlacement placement);
 /* Cancels the job: its user repeats the request until the cancellation is confirmed, and at random
  * polls or submits the job again in between. */
 void sim_cancel (const char *id);
