--- a/tests/fakes.h
+++ b/tests/fakes.h
@@ -21,7 +21,7 @@
   gpointer data;
   guint status;
   json_t *response;
-  gpointer http_request; /* soak: the KrHttpRequest to respond to; NULL: a fake sent the request */
+  gpointer http_request; /* soak: the KrRequest to respond to; NULL: a fake sent the request */
 } Call;
 
 typedef struct {
--- a/tests/fixture.c
+++ b/tests/fixture.c
@@ -37,7 +37,6 @@
     sim_run (5);
 }
 
-/* Every machine has gone back, and no part's record holds one. */
 void
 assert_all_machines_released (void)
 {
@@ -45,7 +44,6 @@
   g_assert_cmpuint (sim_recorded_machines (), ==, 0);
 }
 
-/* Lets the work end; every rule has been watched meanwhile. */
 void
 finish_and_check (double within_s)
 {
@@ -59,7 +57,6 @@
   sim_stop ();
 }
 
-/* What a test must meet by chance, it meets with one seed or another. */
 void
 with_seeds (void (*test) (void))
 {
@@ -69,7 +66,6 @@
   seed = given;
 }
 
-/* Between a machine and every node. */
 void
 set_machine_links (const char *machine, SimLinkState how)
 {
@@ -88,7 +84,6 @@
   }
 }
 
-/* Between all nodes. */
 void
 set_peer_links (SimLinkState how)
 {
@@ -99,7 +94,6 @@
   }
 }
 
-/* Between a node and all machines that there may be. */
 void
 set_worker_links (const char *node, SimLinkState how)
 {
@@ -109,7 +103,6 @@
   }
 }
 
-/* Between those who may take over from n0 and n0, a machine, and the cloud. */
 void
 set_successor_links (const char *machine, SimLinkState how)
 {
@@ -161,7 +154,7 @@
 {
   const char *fixed = g_getenv ("KR_TEST_SEED");
   g_test_init (argc, argv, NULL);
-  /* Always the same verdict: the seed is fixed unless told otherwise. */
+  /* A fixed default seed gives the same result in each run. */
   seed = fixed ? (guint32) g_ascii_strtoull (fixed, NULL, 10) : 20261201;
   if (g_getenv ("KR_TEST_LOG"))
     sim_log_to_stderr ();
--- a/tests/fixture.h
+++ b/tests/fixture.h
@@ -27,7 +27,8 @@
 void set_links_to_machine (const char *machine, SimLinkState how);
 /* Sets the links between all nodes. */
 void set_peer_links (SimLinkState how);
-/* Sets the links between a node and the first twelve machines. */
+/* Sets the links between a node and the first twelve machines, all that a test is expected to rent.
+ */
 void set_worker_links (const char *node, SimLinkState how);
 /* Sets the links between every node but n0, each of which may take over n0's shard, and n0, the
  * machine and the cloud. */
--- a/tests/sim.c
+++ b/tests/sim.c
@@ -1,4 +1,5 @@
-/* Simulated time, network and nodes: the world (fakes.c) around real nodes, one event at a time. */
+/* Backend in simulated time: a queue of events drives the nodes, the fakes (fakes.c) and the
+ * messages between them, one event at a time. */
 #include "fakes.h"
 #include "clock.h"
 #include "constants.h"
@@ -9,7 +10,7 @@
 #include <math.h>
 #include <string.h>
 
-#define TXN_BYTES 65536 /* of a transaction, by the protocol */
+#define TXN_MAX_BYTES 65536 /* the protocol's limit for a transaction */
 
 #define STATE_ADDRESS "10.2.0.1:2379"
 #define CLOUD_ADDRESS "10.2.0.2:8443"
@@ -17,69 +18,69 @@
 /* --- events ---------------------------------------------------------------------------- */
 typedef struct {
   gint64 at;
-  guint64 order;
-  guint id;   /* timers */
-  gint owner; /* node on whose behalf; -1: the world */
-  guint life; /* of that node */
+  guint64 sequence;
+  guint id;          /* of a node's timer; 0: no such timer */
+  gint owner;        /* the node that handles the event; -1: a fake does */
+  guint incarnation; /* of that node: the event is void in a later one */
   GSourceFunc func;
   gpointer data;
-  guint every_ms; /* timers repeat while func says so */
+  guint interval_ms; /* of a timer that repeats while `func` returns TRUE; 0: once */
 } Event;
 
 typedef struct {
   KrNode *node;
   KrSettings *settings;
-  gboolean alive, hung;
-  gint64 hung_at;
-  guint life;
-  /* its watch over standing still */
-  gint64 stall_us;
-  GSourceFunc stalled;
-  gpointer stalled_data;
+  gboolean alive, paused;
+  gint64 paused_at;
+  guint incarnation;
+  /* as set by kr_stall_detector_add() */
+  gint64 stall_limit_us;
+  GSourceFunc stall_func;
+  gpointer stall_data;
 } Node;
 
 static struct {
   GSequence *queue;
   GHashTable *timers; /* id -> GSequenceIter of its event */
-  guint64 order;
+  guint64 sequence;
   guint next_id;
-  gint current; /* node whose code runs */
+  gint current_node; /* the node whose code runs now; -1: none */
   Node nodes[SIM_MAX_NODES];
-  GHashTable *servers; /* address -> KrHttpServer */
-  guint beats;         /* reports handled */
-  guint64 beat_steps;
-  GHashTable *commands; /* address -> direct commands to it under way */
-  guint commands_most;  /* to one address at once, so far */
-  guint lose_reads[SIM_MAX_NODES];
-  gboolean refuse_peers[SIM_MAX_NODES];
+  GHashTable *servers;            /* address -> KrHttpServer */
+  guint reports;                  /* worker reports handled */
+  guint64 report_steps;           /* machines visited for them, see walk_steps() */
+  GHashTable *commands_in_flight; /* address -> number of POST /commands requests */
+  guint max_commands;             /* the highest number in flight to one address */
+  guint drop_range_reads[SIM_MAX_NODES];
+  gboolean drop_peer_requests[SIM_MAX_NODES];
 } sim;
 
 static int
-event_order (gconstpointer a, gconstpointer b, gpointer data)
+compare_events (gconstpointer a, gconstpointer b, gpointer data)
 {
   const Event *x = a, *y = b;
   if (x->at != y->at)
     return x->at < y->at ? -1 : 1;
-  return x->order < y->order ? -1 : x->order > y->order;
+  return x->sequence < y->sequence ? -1 : x->sequence > y->sequence;
 }
 
 static GSequenceIter *
-push (gint64 at, gint owner, GSourceFunc func, gpointer data)
+add_event (gint64 at, gint owner, GSourceFunc func, gpointer data)
 {
   Event *e = g_new0 (Event, 1);
   e->at = at;
-  e->order = ++sim.order;
+  e->sequence = ++sim.sequence;
   e->owner = owner;
-  e->life = owner >= 0 ? sim.nodes[owner].life : 0;
+  e->incarnation = owner >= 0 ? sim.nodes[owner].incarnation : 0;
   e->func = func;
   e->data = data;
-  return g_sequence_insert_sorted (sim.queue, e, event_order, NULL);
+  return g_sequence_insert_sorted (sim.queue, e, compare_events, NULL);
 }
 
 void
 schedule_after (double s, GSourceFunc func, gpointer data)
 {
-  push (fakes.now + (gint64) (s * 1e6), -1, func, data);
+  add_event (fakes.now + (gint64) (s * 1e6), -1, func, data);
 }
 
 gint64
@@ -97,10 +98,10 @@
 guint
 kr_timer_add (guint ms, GSourceFunc func, gpointer data)
 {
-  GSequenceIter *i = push (fakes.now + (gint64) ms * 1000, sim.current, func, data);
+  GSequenceIter *i = add_event (fakes.now + (gint64) ms * 1000, sim.current_node, func, data);
   Event *e = g_sequence_get (i);
   e->id = ++sim.next_id;
-  e->every_ms = MAX (1, ms);
+  e->interval_ms = MAX (1, ms);
   g_hash_table_insert (sim.timers, GUINT_TO_POINTER (e->id), i);
   return e->id;
 }
@@ -126,25 +127,25 @@
 void
 kr_stall_detector_add (guint ms, GSourceFunc func, gpointer data)
 {
-  Node *n = &sim.nodes[sim.current];
-  n->stall_us = (gint64) ms * 1000;
-  n->stalled = func;
-  n->stalled_data = data;
+  Node *n = &sim.nodes[sim.current_node];
+  n->stall_limit_us = (gint64) ms * 1000;
+  n->stall_func = func;
+  n->stall_data = data;
 }
 
 static gboolean
-alive (gint owner, guint life)
+is_alive (gint owner, guint incarnation)
 {
-  return owner < 0 || (sim.nodes[owner].alive && sim.nodes[owner].life == life);
+  return owner < 0 || (sim.nodes[owner].alive && sim.nodes[owner].incarnation == incarnation);
 }
 
-/* What happens to a node that stands still is looked at again after this long. */
-#define HANG_STEP_US 20000
+/* Interval at which events of a paused node are tried again. */
+#define PAUSED_POLL_US 20000
 
 static gboolean
-hung (gint owner)
+is_paused (gint owner)
 {
-  return owner >= 0 && sim.nodes[owner].hung;
+  return owner >= 0 && sim.nodes[owner].paused;
 }
 
 void
@@ -156,28 +157,28 @@
     Event *e = g_sequence_iter_is_end (i) ? NULL : g_sequence_get (i);
     if (!e || e->at > end)
       break;
-    /* Out of the queue first, so that func may remove its own timer. */
+    /* Requeued or removed before the call, so that `func` may remove its own timer. */
     Event copy = *e;
     fakes.now = MAX (fakes.now, e->at);
-    e->at = e->at + MAX (1, (gint64) copy.every_ms * 1000);
-    if (!copy.every_ms)
+    e->at = e->at + MAX (1, (gint64) copy.interval_ms * 1000);
+    if (!copy.interval_ms)
       g_sequence_remove (i);
     else
-      g_sequence_sort_changed (i, event_order, NULL);
-    if (!alive (copy.owner, copy.life)) {
-      if (copy.every_ms)
+      g_sequence_sort_changed (i, compare_events, NULL);
+    if (!is_alive (copy.owner, copy.incarnation)) {
+      if (copy.interval_ms)
         kr_timer_remove (copy.id);
       continue;
     }
-    if (hung (copy.owner)) { /* it finds the timer over when it goes on */
-      e->at = fakes.now + HANG_STEP_US;
-      g_sequence_sort_changed (i, event_order, NULL);
+    if (is_paused (copy.owner)) { /* the timer fires when the node continues */
+      e->at = fakes.now + PAUSED_POLL_US;
+      g_sequence_sort_changed (i, compare_events, NULL);
       continue;
     }
-    sim.current = copy.owner;
+    sim.current_node = copy.owner;
     gboolean again = copy.func (copy.data);
-    sim.current = -1;
-    if (copy.every_ms && !again)
+    sim.current_node = -1;
+    if (copy.interval_ms && !again)
       kr_timer_remove (copy.id);
   }
   fakes.now = end;
@@ -189,7 +190,7 @@
   return fakes.now / 1e6;
 }
 
-/* --- http: calls -------------------------------------------------------------------------- */
+/* --- HTTP ----------------------------------------------------------------------------------- */
 struct KrHttpClient {
   gint owner;
 };
@@ -198,80 +199,81 @@
   KrHttpHandler handler;
   gpointer data;
   gint owner;
-  guint life;
+  guint incarnation;
 };
 
 struct KrRequest {
   Call *call;
   gint owner;
-  guint life;
+  guint incarnation;
 };
 
-static gboolean answer_arrives (gpointer data);
+static gboolean response_arrives (gpointer data);
 
-/* Notes that a direct command to a worker begins or ends. */
+/* Counts a POST /commands request from a node that starts (+1) or ends (-1). */
 static void
-count_command (const Call *c, gint change)
+count_command_change (const Call *c, gint change)
 {
   if (c->owner < 0 || !g_str_equal (c->path, "/commands"))
     return;
-  guint now = GPOINTER_TO_UINT (g_hash_table_lookup (sim.commands, c->host)) + (guint) change;
-  g_hash_table_insert (sim.commands, g_strdup (c->host), GUINT_TO_POINTER (now));
-  sim.commands_most = MAX (sim.commands_most, now);
+  guint now =
+      GPOINTER_TO_UINT (g_hash_table_lookup (sim.commands_in_flight, c->host)) + (guint) change;
+  g_hash_table_insert (sim.commands_in_flight, g_strdup (c->host), GUINT_TO_POINTER (now));
+  sim.max_commands = MAX (sim.max_commands, now);
 }
 
 void
 sim_node_drop_peer_requests (guint i, gboolean on)
 {
-  sim.refuse_peers[i] = on;
+  sim.drop_peer_requests[i] = on;
 }
 
 void
 sim_drop_range_reads (guint node, guint n)
 {
-  sim.lose_reads[node] = n;
+  sim.drop_range_reads[node] = n;
 }
 
 guint
 sim_max_concurrent_commands (void)
 {
-  return sim.commands_most;
+  return sim.max_commands;
 }
 
 static void
-call_end (Call *c, guint status, json_t *body)
+complete_call (Call *c, guint status, json_t *body)
 {
   if (c->completed)
     return;
-  gboolean asker_lives = alive (c->owner, c->incarnation);
-  if (asker_lives && hung (c->owner)) {
+  gboolean caller_alive = is_alive (c->owner, c->incarnation);
+  if (caller_alive && is_paused (c->owner)) {
     c->status = status;
     c->response = body;
-    schedule_after (HANG_STEP_US / 1e6, answer_arrives, c);
+    schedule_after (PAUSED_POLL_US / 1e6, response_arrives, c);
     return;
   }
   c->completed = TRUE;
-  count_command (c, -1);
-  if (!asker_lives)
+  count_command_change (c, -1);
+  if (!caller_alive)
     return;
-  gint before = sim.current;
-  sim.current = c->owner;
+  gint before = sim.current_node;
+  sim.current_node = c->owner;
   c->reply (status, body, c->data);
-  sim.current = before;
+  sim.current_node = before;
 }
 
 static gboolean
-call_late (gpointer data)
+call_timed_out (gpointer data)
 {
-  call_end (data, 0, NULL);
+  complete_call (data, 0, NULL);
   return FALSE;
 }
 
 static gboolean
-answer_arrives (gpointer data)
+response_arrives (gpointer data)
 {
   Call *c = data;
-  call_end (c, c->status, c->response);
+  complete_call (c, c->status, c->response);
   return FALSE;
 }
 
@@ -287,12 +289,12 @@
         orders, i, o) if (g_strcmp0 (json_string_value (json_object_get (o, "Order")), "run") == 0)
         fakes_count_lost_run (c->from);
   }
-  fakes_deliver (c->to, c->from, answer_arrives, c);
+  fakes_deliver (c->to, c->from, response_arrives, c);
 }
 
-/* Steps of walks over all machines of a part, in a node so far. */
+/* Returns the number of machines that a node has visited in walks over all machines of a shard. */
 static guint64
-walked (gint i)
+walk_steps (gint i)
 {
   const Node *n = &sim.nodes[i];
   guint64 sum = 0;
@@ -304,8 +306,8 @@
 guint
 sim_reports_handled (guint64 *steps)
 {
-  *steps = sim.beat_steps;
-  return sim.beats;
+  *steps = sim.report_steps;
+  return sim.reports;
 }
 
 static gboolean
@@ -316,7 +318,7 @@
 }
 
 static gboolean
-call_arrives (gpointer data)
+request_arrives (gpointer data)
 {
   Call *c = data;
   KrHttpServer *s = g_hash_table_lookup (sim.servers, c->host);
@@ -324,24 +326,25 @@
     fakes_handle_request (c);
     return FALSE;
   }
-  if (!alive (s->owner, s->life) || (sim.refuse_peers[s->owner] && is_peer_address (c->host)))
+  if (!is_alive (s->owner, s->incarnation) ||
+      (sim.drop_peer_requests[s->owner] && is_peer_address (c->host)))
     return FALSE;
-  if (hung (s->owner)) {
-    schedule_after (HANG_STEP_US / 1e6, call_arrives, c);
+  if (is_paused (s->owner)) {
+    schedule_after (PAUSED_POLL_US / 1e6, request_arrives, c);
     return FALSE;
   }
   KrRequest *r = g_new0 (KrRequest, 1);
   r->call = c;
   r->owner = s->owner;
-  r->life = s->life;
-  guint64 before = walked (s->owner);
-  gboolean beat = g_str_equal (c->path, "/agent/beat");
-  sim.current = s->owner;
+  r->incarnation = s->incarnation;
+  guint64 before = walk_steps (s->owner);
+  gboolean is_report = g_str_equal (c->path, "/agent/beat");
+  sim.current_node = s->owner;
   s->handler (r, s->data);
-  sim.current = -1;
-  if (beat) {
-    sim.beats++;
-    sim.beat_steps += walked (s->owner) - before;
+  sim.current_node = -1;
+  if (is_report) {
+    sim.reports++;
+    sim.report_steps += walk_steps (s->owner) - before;
   }
   return FALSE;
 }
@@ -359,17 +362,16 @@
 }
 
 static void
-copy_later (const Call *c)
+duplicate_later (const Call *c)
 {
   fakes_send_duplicate_later (c->from, c->method, c->host, c->path, c->body);
 }
 
-/* Sent, it arrives after `late_s` beyond the usual. */
 static gboolean
-call_sent (gpointer data)
+send_request (gpointer data)
 {
   Call *c = data;
-  fakes_deliver (c->from, c->to, call_arrives, c);
+  fakes_deliver (c->from, c->to, request_arrives, c);
   return FALSE;
 }
 
@@ -385,19 +387,19 @@
   c->method = g_strdup (method);
   c->path = g_strdup (path);
   c->body = body;
-  c->owner = sim.current;
-  c->incarnation = c->owner >= 0 ? sim.nodes[c->owner].life : 0;
+  c->owner = sim.current_node;
+  c->incarnation = c->owner >= 0 ? sim.nodes[c->owner].incarnation : 0;
   c->reply = reply;
   c->data = data;
-  count_command (c, 1);
-  schedule_after (timeout_s, call_late, c);
+  count_command_change (c, 1);
+  schedule_after (timeout_s, call_timed_out, c);
   if (late_s > 0)
-    schedule_after (late_s, call_sent, c);
+    schedule_after (late_s, send_request, c);
   else
-    call_sent (c);
+    send_request (c);
   if (!fakes_sending_duplicate && !g_str_has_prefix (from, "host-") &&
       g_rand_double (fakes.rng) < fakes.options.duplicate_requests)
-    copy_later (c);
+    duplicate_later (c);
   return c;
 }
 
@@ -409,23 +411,23 @@
 }
 
 static gboolean
-call_cancelled_now (gpointer data)
+complete_cancelled_call (gpointer data)
 {
-  call_end (data, 0, NULL);
+  complete_call (data, 0, NULL);
   return FALSE;
 }
 
 static void
 call_cancelled (GCancellable *cancel, gpointer data)
 {
-  schedule_after (0, call_cancelled_now, data);
+  schedule_after (0, complete_cancelled_call, data);
 }
 
 KrHttpClient *
 kr_http_client_new (guint conns, guint conns_per_host, guint idle_s)
 {
   KrHttpClient *c = g_new0 (KrHttpClient, 1);
-  c->owner = sim.current;
+  c->owner = sim.current_node;
   return c;
 }
 
@@ -446,15 +448,15 @@
                      json_t *body, guint timeout_ms, GCancellable *cancel, KrHttpResponseFunc reply,
                      gpointer data)
 {
-  g_autofree char *from = g_strdup_printf ("n%d", sim.current);
-  if (sim.lose_reads[sim.current] && g_str_has_prefix (path, "/store?")) {
-    sim.lose_reads[sim.current]--;
+  g_autofree char *from = g_strdup_printf ("n%d", sim.current_node);
+  if (sim.drop_range_reads[sim.current_node] && g_str_has_prefix (path, "/store?")) {
+    sim.drop_range_reads[sim.current_node]--;
     json_decref (body);
     return;
   }
   Call *c = fakes_call (from, method, host, path, body, timeout_ms / 1000.0, reply, data);
   if (cancel && g_cancellable_is_cancelled (cancel))
-    schedule_after (0, call_cancelled_now, c);
+    schedule_after (0, complete_cancelled_call, c);
   else if (cancel)
     g_signal_connect (cancel, "cancelled", G_CALLBACK (call_cancelled), c);
 }
@@ -464,7 +466,7 @@
                     KrHttpHandler handler, gpointer data, GError **error)
 {
   KrHttpServer *s = g_new0 (KrHttpServer, 1);
-  *s = (KrHttpServer){ handler, data, sim.current, sim.nodes[sim.current].life };
+  *s = (KrHttpServer){ handler, data, sim.current_node, sim.nodes[sim.current_node].incarnation };
   g_hash_table_replace (sim.servers, g_strdup (address), s);
   return s;
 }
@@ -504,10 +506,10 @@
   fakes_respond (r->call, status, body ? body : json_object ());
   g_free (r);
 }
-/* --- nodes and life
- * -------------------------------------------------------------------------------- */
+
+/* --- nodes ---------------------------------------------------------------------------------- */
 static KrSettings *
-settings (guint node)
+parse_settings (guint node)
 {
   g_autoptr (GError) error = NULL;
   json_t *root = fakes_node_settings (node);
@@ -522,40 +524,41 @@
 {
   Node *n = &sim.nodes[i];
   n->alive = TRUE;
-  n->life++;
-  n->settings = settings (i);
-  sim.current = (gint) i;
+  n->incarnation++;
+  n->settings = parse_settings (i);
+  sim.current_node = (gint) i;
   n->node = kr_node_new (n->settings, NULL);
-  sim.current = -1;
+  sim.current_node = -1;
 }
 
-/* As the platform does it: no signal, nothing is told to anyone. */
+/* Ends the node without notice, as the platform does: it gets no signal that it could handle, and
+ * no one is told. */
 void
 sim_node_kill (guint i)
 {
-  sim.nodes[i].alive = sim.nodes[i].hung = FALSE;
+  sim.nodes[i].alive = sim.nodes[i].paused = FALSE;
 }
 
 void
 sim_node_pause (guint i, gboolean on)
 {
   Node *n = &sim.nodes[i];
-  if (n->hung && !on && fakes.now - n->hung_at > n->stall_us) {
-    sim.current = (gint) i;
-    n->stalled (n->stalled_data);
-    sim.current = -1;
+  if (n->paused && !on && fakes.now - n->paused_at > n->stall_limit_us) {
+    sim.current_node = (gint) i;
+    n->stall_func (n->stall_data);
+    sim.current_node = -1;
   }
-  n->hung = on;
-  n->hung_at = fakes.now;
+  n->paused = on;
+  n->paused_at = fakes.now;
 }
 
-/* With KR_TEST_LOG set: what the nodes log, with simulated time and node. */
+/* Log writer for KR_TEST_LOG: prints each message with the simulated time and the node. */
 static GLogWriterOutput
 write_log (GLogLevelFlags level, const GLogField *fields, gsize n_fields, gpointer data)
 {
   for (gsize i = 0; i < n_fields; i++)
     if (g_str_equal (fields[i].key, "MESSAGE"))
-      g_printerr ("%9.3f n%d %s\n", sim_now (), sim.current, (const char *) fields[i].value);
+      g_printerr ("%9.3f n%d %s\n", sim_now (), sim.current_node, (const char *) fields[i].value);
   return G_LOG_WRITER_HANDLED;
 }
 
@@ -571,9 +574,9 @@
   memset (&sim, 0, sizeof sim);
   sim.queue = g_sequence_new (g_free);
   sim.timers = g_hash_table_new (g_direct_hash, g_direct_equal);
-  sim.current = -1;
+  sim.current_node = -1;
   sim.servers = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
-  sim.commands = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
+  sim.commands_in_flight = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
   fakes_start (seed, options);
   for (guint i = 0; i < fakes.options.nodes; i++)
     sim_node_start (i);
@@ -584,7 +587,7 @@
 {
   g_sequence_free (sim.queue);
   g_hash_table_unref (sim.timers);
-  g_hash_table_unref (sim.commands);
+  g_hash_table_unref (sim.commands_in_flight);
   fakes_stop ();
 }
 
