--- a/tests/soak/backend.c
+++ b/tests/soak/backend.c
@@ -5,14 +5,14 @@
 #include <string.h>
 #include <sys/prctl.h>
 
-#define CONNECTIONS 4000 /* that a stand-in takes, and that the world opens */
+#define MAX_CONNECTIONS 4000 /* limit of each fake's server and of each HTTP client */
 #define STATE_PORT 2379
-#define IDLE_S 60 /* of a silent connection */
-#define TIMER_STEP_MS 2
-#define USER_SESSIONS 64
-#define PER_HOST 250 /* machines with the third byte of the address in common */
-#define FIRST_MACHINES 10
-#define FIRST_PROXY 100
+#define IDLE_S 60 /* after which an unused connection is closed */
+#define TIMER_INTERVAL_MS 2
+#define USER_CLIENTS 64
+#define MACHINES_PER_BYTE 250 /* machines that share the third byte of the address */
+#define FIRST_MACHINE_BYTE 10
+#define FIRST_PROXY_BYTE 100
 
 typedef struct {
   GPid pid;
@@ -23,12 +23,12 @@
 static struct {
   guint net;
   char *program, *dir;
-  gint64 began;
+  gint64 started_at;
   GMainLoop *loop;
   GSequence *timers; /* Timer */
-  guint64 order;
-  GHashTable *clients; /* who asks -> KrHttpClient */
-  guint users;         /* requests of users so far */
+  guint64 sequence;
+  GHashTable *clients; /* sender -> KrHttpClient */
+  guint user_requests; /* number of users' requests so far */
   GCancellable *cancel;
   Process nodes[SIM_MAX_NODES];
 } backend;
@@ -36,7 +36,7 @@
 /* --- time ---------------------------------------------------------------------------- */
 typedef struct {
   gint64 at;
-  guint64 order;
+  guint64 sequence;
   GSourceFunc func;
   gpointer data;
 } Timer;
@@ -44,20 +44,20 @@
 static void
 update_now (void)
 {
-  fakes.now = g_get_monotonic_time () - backend.began;
+  fakes.now = g_get_monotonic_time () - backend.started_at;
 }
 
 static int
-earlier (gconstpointer a, gconstpointer b, gpointer data)
+compare_timers (gconstpointer a, gconstpointer b, gpointer data)
 {
   const Timer *x = a, *y = b;
   if (x->at != y->at)
     return x->at < y->at ? -1 : 1;
-  return x->order < y->order ? -1 : x->order > y->order;
+  return x->sequence < y->sequence ? -1 : x->sequence > y->sequence;
 }
 
-/* One source for all timers: the main loop looks at each source in each turn, and the world has
- * thousands. */
+/* One GSource serves all timers: the main loop checks each of its sources in each iteration, and
+ * the fakes have thousands of timers. */
 static gboolean
 run_timers (gpointer data)
 {
@@ -76,8 +76,8 @@
 schedule_after (double s, GSourceFunc func, gpointer data)
 {
   Timer *timer = g_new (Timer, 1);
-  *timer = (Timer){ fakes.now + (gint64) (s * 1e6), ++backend.order, func, data };
-  g_sequence_insert_sorted (backend.timers, timer, earlier, NULL);
+  *timer = (Timer){ fakes.now + (gint64) (s * 1e6), ++backend.sequence, func, data };
+  g_sequence_insert_sorted (backend.timers, timer, compare_timers, NULL);
 }
 
 double
@@ -87,7 +87,7 @@
 }
 
 static gboolean
-run_over (gpointer data)
+quit_loop (gpointer data)
 {
   g_main_loop_quit (backend.loop);
   return G_SOURCE_REMOVE;
@@ -96,7 +96,7 @@
 void
 sim_run (double seconds)
 {
-  g_timeout_add ((guint) (seconds * 1000), run_over, NULL);
+  g_timeout_add ((guint) (seconds * 1000), quit_loop, NULL);
   g_main_loop_run (backend.loop);
   update_now ();
 }
@@ -129,41 +129,42 @@
 char *
 sim_peer_address (guint node, guint peer)
 {
-  return loopback_address (FIRST_PROXY + node, peer + 1, SIM_PEER_PORT);
+  return loopback_address (FIRST_PROXY_BYTE + node, peer + 1, SIM_PEER_PORT);
 }
 
-/* The node's name behind an address for users, workers or peers. */
+/* Returns the name of the node at an address for users, workers or peers. */
 static char *
-node_of (const char *host)
+node_name (const char *host)
 {
   const char *byte = strrchr (host, '.');
   return g_strdup_printf ("n%d", atoi (byte + 1) - 1);
 }
 
-/* One session each: a session looks at all its calls whenever one of them goes on, so that hundreds
- * of machines in one would hold the whole world up. */
+/* Each machine and node has its own HTTP client, and users share USER_CLIENTS of them: a
+ * SoupSession walks all its messages whenever one of them makes progress, so that hundreds of
+ * machines in one session would stall all fakes. */
 static KrHttpClient *
-client_of (const char *from)
+client_for (const char *from)
 {
   g_autofree char *name = g_str_equal (from, "user")
-                              ? g_strdup_printf ("user %u", backend.users++ % USER_SESSIONS)
+                              ? g_strdup_printf ("user %u", backend.user_requests++ % USER_CLIENTS)
                               : g_strdup (from);
   KrHttpClient *client = g_hash_table_lookup (backend.clients, name);
   if (!client) {
-    client = kr_http_client_new (CONNECTIONS, CONNECTIONS, IDLE_S);
+    client = kr_http_client_new (MAX_CONNECTIONS, MAX_CONNECTIONS, IDLE_S);
     g_hash_table_insert (backend.clients, g_steal_pointer (&name), client);
   }
   return client;
 }
 
-/* --- the world is asked -------------------------------------------------------------- */
-/* Who asks whom at a listening address. */
+/* --- requests from the nodes --------------------------------------------------------- */
+/* The sender and the receiver of the requests that arrive at a listening address. */
 typedef struct {
   char *from, *to;
 } Link;
 
 static gboolean
-answer_leaves (gpointer data)
+send_response (gpointer data)
 {
   Call *c = data;
   kr_request_reply (c->http_request, c->status, c->response, 0);
@@ -175,11 +176,11 @@
 {
   c->status = status;
   c->response = body;
-  fakes_deliver (c->to, c->from, answer_leaves, c);
+  fakes_deliver (c->to, c->from, send_response, c);
 }
 
 static void
-peer_answered (guint status, json_t *body, gpointer data)
+peer_responded (guint status, json_t *body, gpointer data)
 {
   update_now ();
   if (status)
@@ -195,13 +196,13 @@
     return G_SOURCE_REMOVE;
   }
   g_autofree char *host = sim_node_address ((guint) atoi (c->to + 1), SIM_PEER_PORT);
-  kr_http_client_call (client_of (c->from), c->method, host, c->path, json_incref (c->body), 5000,
-                       NULL, peer_answered, c);
+  kr_http_client_call (client_for (c->from), c->method, host, c->path, json_incref (c->body), 5000,
+                       NULL, peer_responded, c);
   return G_SOURCE_REMOVE;
 }
 
 static void
-asked (KrRequest *request, gpointer data)
+handle_request (KrRequest *request, gpointer data)
 {
   const Link *link = data;
   const char *query = kr_request_query (request);
@@ -217,29 +218,33 @@
   fakes_deliver (c->from, c->to, request_arrives, c);
 }
 
+/* Takes over all three strings. */
 static void
-listen_at (char *where, char *from, char *to)
+listen_on (char *address, char *from, char *to)
 {
   g_autoptr (GError) error = NULL;
   Link *link = g_new (Link, 1);
   *link = (Link){ from, to };
-  if (!kr_http_server_new (where, CONNECTIONS, IDLE_S, backend.cancel, asked, link, &error))
+  if (!kr_http_server_new (address, MAX_CONNECTIONS, IDLE_S, backend.cancel, handle_request, link,
+                           &error))
     g_error ("%s", error->message);
-  g_free (where);
+  g_free (address);
 }
 
-/* Which node commands a machine cannot be told from its address: cuts are of its reports. */
+/* A machine has one address for all nodes, so the sender of a command isn't known: a link fault
+ * between one node and a machine affects only the machine's reports and their responses. */
 char *
 sim_machine_address (guint number)
 {
-  char *where = loopback_address (FIRST_MACHINES + number / PER_HOST, 1 + number % PER_HOST, 9000);
-  listen_at (g_strdup (where), g_strdup ("nodes"), g_strdup_printf ("host-%06u", number));
-  return where;
+  char *address = loopback_address (FIRST_MACHINE_BYTE + number / MACHINES_PER_BYTE,
+                                    1 + number % MACHINES_PER_BYTE, 9000);
+  listen_on (g_strdup (address), g_strdup ("nodes"), g_strdup_printf ("host-%06u", number));
+  return address;
 }
 
-/* --- the world asks ------------------------------------------------------------------ */
+/* --- requests from the fakes --------------------------------------------------------- */
 static gboolean
-call_over (gpointer data)
+complete_call (gpointer data)
 {
   Call *c = data;
   if (c->completed)
@@ -250,18 +255,18 @@
 }
 
 static gboolean
-call_late (gpointer data)
+call_timed_out (gpointer data)
 {
   Call *c = data;
   if (!c->completed) {
     c->status = 0;
     c->response = NULL;
   }
-  return call_over (c);
+  return complete_call (c);
 }
 
 static void
-node_answered (guint status, json_t *body, gpointer data)
+node_responded (guint status, json_t *body, gpointer data)
 {
   Call *c = data;
   update_now ();
@@ -269,23 +274,23 @@
     return;
   c->status = status;
   c->response = json_incref (body);
-  fakes_deliver (c->to, c->from, call_over, c);
+  fakes_deliver (c->to, c->from, complete_call, c);
 }
 
 static gboolean
-call_arrives (gpointer data)
+forward_call (gpointer data)
 {
   Call *c = data;
-  kr_http_client_call (client_of (c->from), c->method, c->host, c->path, json_incref (c->body),
-                       5000, NULL, node_answered, c);
+  kr_http_client_call (client_for (c->from), c->method, c->host, c->path, json_incref (c->body),
+                       5000, NULL, node_responded, c);
   return G_SOURCE_REMOVE;
 }
 
 static gboolean
-call_leaves (gpointer data)
+send_call (gpointer data)
 {
   Call *c = data;
-  fakes_deliver (c->from, c->to, call_arrives, c);
+  fakes_deliver (c->from, c->to, forward_call, c);
   return G_SOURCE_REMOVE;
 }
 
@@ -296,7 +301,7 @@
 {
   Call *c = g_new0 (Call, 1);
   c->from = g_strdup (from);
-  c->to = node_of (address);
+  c->to = node_name (address);
   c->host = g_strdup (address);
   c->method = g_strdup (method);
   c->path = g_strdup (path);
@@ -304,11 +309,11 @@
   c->owner = -1;
   c->reply = reply;
   c->data = data;
-  schedule_after (timeout_s, call_late, c);
+  schedule_after (timeout_s, call_timed_out, c);
   if (late_s > 0)
-    schedule_after (late_s, call_leaves, c);
+    schedule_after (late_s, send_call, c);
   else
-    call_leaves (c);
+    send_call (c);
   return c;
 }
 
@@ -320,7 +325,8 @@
 }
 
 /* --- processes ----------------------------------------------------------------------- */
-/* JSON as a value of TOML: an inline table has "=" where an object has ":". */
+/* Returns a JSON value as TOML: an inline table has "=" where an object has ":". The caller frees
+ * it with g_free(). */
 static char *
 toml_value (json_t *value)
 {
@@ -332,7 +338,7 @@
 }
 
 static char *
-settings_file (guint node)
+write_settings (guint node)
 {
   g_autoptr (GString) text = g_string_new (NULL);
   json_t *root = fakes_node_settings (node), *value;
@@ -355,17 +361,19 @@
 {
   Process *process = data;
   update_now ();
-  /* A killed one is noted as such before, and may have a successor by now. */
+  /* sim_node_kill() clears `alive` first, and a new process may have been started since. */
   if (process->alive && process->pid == pid) {
     process->alive = FALSE;
-    record_violation ("n%d ended by itself (status %d)", (int) (process - backend.nodes), status);
+    record_violation ("n%d exited unexpectedly (status %d)", (int) (process - backend.nodes),
+                      status);
   }
   g_spawn_close_pid (pid);
 }
 
-/* In the new process: no run that fails leaves one behind. */
+/* Runs in the new process: the kernel kills it when the soak ends, so that a failed run leaves no
+ * process behind. */
 static void
-die_with_parent (gpointer data)
+kill_with_parent (gpointer data)
 {
   prctl (PR_SET_PDEATHSIG, SIGKILL);
 }
@@ -374,14 +382,14 @@
 sim_node_start (guint i)
 {
   Process *process = &backend.nodes[i];
-  g_autofree char *config = settings_file (i);
+  g_autofree char *config = write_settings (i);
   g_autofree char *log = g_strdup_printf ("%s/n%u.log", backend.dir, i);
   g_autofree char *command = g_strdup_printf ("exec \"$0\" --config \"$1\" 2>>\"$2\"");
   char *const argv[] = {
     (char *) "/bin/sh", (char *) "-c", command, backend.program, config, log, NULL
   };
   g_autoptr (GError) error = NULL;
-  if (!g_spawn_async (NULL, (char **) argv, NULL, G_SPAWN_DO_NOT_REAP_CHILD, die_with_parent, NULL,
+  if (!g_spawn_async (NULL, (char **) argv, NULL, G_SPAWN_DO_NOT_REAP_CHILD, kill_with_parent, NULL,
                       &process->pid, &error))
     g_error ("%s", error->message);
   process->alive = TRUE;
@@ -448,7 +456,7 @@
                                         G_SOCKET_PROTOCOL_TCP, NULL, NULL, NULL);
 }
 
-/* --- life ---------------------------------------------------------------------------- */
+/* --- start and stop ------------------------------------------------------------------ */
 void
 backend_start (guint net, const char *program, const char *dir, guint32 seed,
                const SimOptions *options)
@@ -456,19 +464,19 @@
   backend.net = net;
   backend.program = g_strdup (program);
   backend.dir = g_strdup (dir);
-  backend.began = g_get_monotonic_time ();
+  backend.started_at = g_get_monotonic_time ();
   backend.loop = g_main_loop_new (NULL, FALSE);
   backend.clients = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
   backend.cancel = g_cancellable_new ();
   backend.timers = g_sequence_new (g_free);
-  g_timeout_add (TIMER_STEP_MS, run_timers, NULL);
+  g_timeout_add (TIMER_INTERVAL_MS, run_timers, NULL);
   fakes_start (seed, options);
   for (guint i = 0; i < options->nodes; i++) {
-    listen_at (sim_state_address (i), g_strdup_printf ("n%u", i), g_strdup ("state"));
-    listen_at (sim_cloud_address (i), g_strdup_printf ("n%u", i), g_strdup ("cloud"));
+    listen_on (sim_state_address (i), g_strdup_printf ("n%u", i), g_strdup ("state"));
+    listen_on (sim_cloud_address (i), g_strdup_printf ("n%u", i), g_strdup ("cloud"));
     for (guint k = 0; k < options->nodes; k++)
       if (k != i)
-        listen_at (sim_peer_address (i, k), g_strdup_printf ("n%u", i), g_strdup_printf ("n%u", k));
+        listen_on (sim_peer_address (i, k), g_strdup_printf ("n%u", i), g_strdup_printf ("n%u", k));
   }
   for (guint i = 0; i < options->nodes; i++)
     sim_node_start (i);
