--- a/tests/fakes.c
+++ b/tests/fakes.c
@@ -57,10 +57,10 @@
 }
 
 void
-sim_set_link (const char *from, const char *to, SimLinkState how)
+sim_set_link (const char *from, const char *to, SimLinkState state)
 {
-  g_hash_table_replace (fakes.links, g_strdup_printf ("%s>%s", from, to), GINT_TO_POINTER (how));
-  if (how != SIM_LINK_UP)
+  g_hash_table_replace (fakes.links, g_strdup_printf ("%s>%s", from, to), GINT_TO_POINTER (state));
+  if (state != SIM_LINK_UP)
     return;
   g_autoptr (GPtrArray) old = g_steal_pointer (&fakes.held_messages);
   fakes.held_messages = g_ptr_array_new ();
@@ -74,10 +74,10 @@
 }
 
 void
-sim_set_link_both (const char *a, const char *b, SimLinkState how)
+sim_set_link_both (const char *a, const char *b, SimLinkState state)
 {
-  sim_set_link (a, b, how);
-  sim_set_link (b, a, how);
+  sim_set_link (a, b, state);
+  sim_set_link (b, a, state);
 }
 
 /* A copy of a request that is sent later; its response is ignored. */
--- a/tests/fixture.c
+++ b/tests/fixture.c
@@ -67,50 +67,50 @@
 }
 
 void
-set_machine_links (const char *machine, SimLinkState how)
+set_machine_links (const char *machine, SimLinkState state)
 {
   for (guint i = 0; i < default_options.nodes; i++) {
     g_autofree char *node = g_strdup_printf ("n%u", i);
-    sim_set_link_both (machine, node, how);
+    sim_set_link_both (machine, node, state);
   }
 }
 
 void
-set_links_to_machine (const char *machine, SimLinkState how)
+set_links_to_machine (const char *machine, SimLinkState state)
 {
   for (guint i = 0; i < default_options.nodes; i++) {
     g_autofree char *node = g_strdup_printf ("n%u", i);
-    sim_set_link (node, machine, how);
+    sim_set_link (node, machine, state);
   }
 }
 
 void
-set_peer_links (SimLinkState how)
+set_peer_links (SimLinkState state)
 {
   for (guint i = 0; i < default_options.nodes; i++) {
     g_autofree char *a = g_strdup_printf ("n%u", i);
     g_autofree char *b = g_strdup_printf ("n%u", (i + 1) % default_options.nodes);
-    sim_set_link_both (a, b, how);
+    sim_set_link_both (a, b, state);
   }
 }
 
 void
-set_worker_links (const char *node, SimLinkState how)
+set_worker_links (const char *node, SimLinkState state)
 {
   for (guint i = 0; i < 12; i++) {
     g_autofree char *m = g_strdup_printf ("host-%06u", i);
-    sim_set_link_both (node, m, how);
+    sim_set_link_both (node, m, state);
   }
 }
 
 void
-set_successor_links (const char *machine, SimLinkState how)
+set_successor_links (const char *machine, SimLinkState state)
 {
   for (guint i = 1; i < default_options.nodes; i++) {
     g_autofree char *n = g_strdup_printf ("n%u", i);
-    sim_set_link_both ("n0", n, how);
-    sim_set_link_both (machine, n, how);
-    sim_set_link_both ("cloud", n, how);
+    sim_set_link_both ("n0", n, state);
+    sim_set_link_both (machine, n, state);
+    sim_set_link_both ("cloud", n, state);
   }
 }
 
--- a/tests/fixture.h
+++ b/tests/fixture.h
@@ -22,17 +22,17 @@
 /* Runs a test with four seeds in a row, where the fault depends on a random interleaving. */
 void with_seeds (void (*test) (void));
 /* Sets the links between a machine and all nodes, in both directions. */
-void set_machine_links (const char *machine, SimLinkState how);
+void set_machine_links (const char *machine, SimLinkState state);
 /* Sets the links from all nodes to a machine. Its own messages still reach them. */
-void set_links_to_machine (const char *machine, SimLinkState how);
+void set_links_to_machine (const char *machine, SimLinkState state);
 /* Sets the links between all nodes. */
-void set_peer_links (SimLinkState how);
+void set_peer_links (SimLinkState state);
 /* Sets the links between a node and the first twelve machines, all that a test is expected to rent.
  */
-void set_worker_links (const char *node, SimLinkState how);
+void set_worker_links (const char *node, SimLinkState state);
 /* Sets the links between every node but n0, each of which may take over n0's shard, and n0, the
  * machine and the cloud. */
-void set_successor_links (const char *machine, SimLinkState how);
+void set_successor_links (const char *machine, SimLinkState state);
 /* Kills the node, and starts it again after `away_s`. */
 void crash_and_restart (guint node, double away_s);
 /* The same with the first `nodes` nodes at once. */
--- a/tests/sim.h
+++ b/tests/sim.h
@@ -54,9 +54,9 @@
 /* Drops the requests to the node's internal address. Its own requests get through. */
 void sim_node_drop_peer_requests (guint i, gboolean on);
 /* Sets the state of the link in one direction. SIM_LINK_UP also delivers the messages on hold. */
-void sim_set_link (const char *from, const char *to, SimLinkState how);
+void sim_set_link (const char *from, const char *to, SimLinkState state);
 /* Sets both directions. */
-void sim_set_link_both (const char *a, const char *b, SimLinkState how);
+void sim_set_link_both (const char *a, const char *b, SimLinkState state);
 
 /* --- faults of the state service --------------------------------------------------------- */
 /* All requests but watches fail with 503, and no lease expires. Leases start anew at the end. */
@@ -80,7 +80,7 @@
 /* The next n commits that put a key with that prefix are executed, and get their response, that
  * much later. */
 void sim_hold_commits (const char *prefix, guint n, double seconds);
-/* Returns how many of these commits are still to come. */
+/* Returns state many of these commits are still to come. */
 guint sim_commits_left_to_hold (void);
 
 /* --- faults of the machines and the cloud ------------------------------------------------ */
--- a/tests/soak/backend.c
+++ b/tests/soak/backend.c
@@ -16,7 +16,7 @@
 
 typedef struct {
   GPid pid;
-  gboolean alive, stopped;
+  gboolean alive, paused;
   guint starts;
 } Process;
 
@@ -393,7 +393,7 @@
                       &process->pid, &error))
     g_error ("%s", error->message);
   process->alive = TRUE;
-  process->stopped = FALSE;
+  process->paused = FALSE;
   process->starts++;
   g_child_watch_add (process->pid, process_ended, process);
 }
@@ -404,16 +404,16 @@
   Process *process = &backend.nodes[i];
   if (process->alive)
     kill (process->pid, SIGKILL);
-  process->alive = process->stopped = FALSE;
+  process->alive = process->paused = FALSE;
 }
 
 void
 sim_node_pause (guint i, gboolean on)
 {
   Process *process = &backend.nodes[i];
-  if (process->alive && process->stopped != on)
+  if (process->alive && process->paused != on)
     kill (process->pid, on ? SIGSTOP : SIGCONT);
-  process->stopped = process->alive && on;
+  process->paused = process->alive && on;
 }
 
 gboolean
