--- a/tests/fakes.c
+++ b/tests/fakes.c
@@ -690,7 +690,7 @@
   gint64 lease_renewed_at, next_report_at, last_report_at, report_sent_at;
   guint node; /* the node that it reports to */
   GPtrArray *tasks;
-  /* A report is saved every SAVED_REPORT_US at most; the older one is that saved before. */
+  /* The report saved last, at most one each SAVED_REPORT_US, and the one saved before it. */
   json_t *saved_report, *older_report;
   gint64 saved_report_at;
 } Machine;
@@ -1567,7 +1567,7 @@
   gboolean final = is_finished (u);
   u->last_response_at = fakes.now;
   if (final && sent_at < u->finished_at)
-    return; /* the request is older than the final response, which has overtaken this one */
+    return; /* sent before the final response arrived, which has overtaken this one */
   if (final && !g_str_equal (u->reported_state, state))
     record_violation ("went_back: %s was %s, is %s", u->id, u->reported_state, state);
   if (g_str_equal (state, "done") && u->n_completed < u->tasks)
@@ -1744,7 +1744,7 @@
 }
 
 static void
-add_user_job (const char *id, const char *team, const char *rank, guint tasks, double cpus,
+add_user_job (const char *id, const char *team, const char *priority, guint tasks, double cpus,
               double run_s, double deadline_s, SimPlacement placement)
 {
   UserJob *u = g_new0 (UserJob, 1);
@@ -1758,7 +1758,7 @@
   u->submitted_at = fakes.now;
   u->completed = g_malloc0 (tasks);
   u->body = json_pack ("{ss ss ss ss ss sI sf sf sf ss sf sn sn sb sb sb sf sf sf sf}", "Id", id,
-                       "Lane", "l", "Crew", team, "Form", "array", "Rank", rank, "Shifts",
+                       "Lane", "l", "Crew", team, "Form", "array", "Rank", priority, "Shifts",
                        (json_int_t) tasks, "Cores", cpus, "Accelerators", 0.0, "MemGb", 1.0,
                        "Cargo", "img", "PullGb", 0.0, "Hulls", "Harbor", "OneZone",
                        placement == SIM_ONE_ZONE, "Apart", placement == SIM_SPREAD, "Driftwood", 1,
@@ -1768,10 +1768,10 @@
 }
 
 void
-sim_submit (const char *id, const char *team, const char *rank, guint tasks, double cpus,
+sim_submit (const char *id, const char *team, const char *priority, guint tasks, double cpus,
             double run_s, double deadline_s)
 {
-  add_user_job (id, team, rank, tasks, cpus, run_s, deadline_s, SIM_ANYWHERE);
+  add_user_job (id, team, priority, tasks, cpus, run_s, deadline_s, SIM_ANYWHERE);
 }
 
 void
--- a/tests/sim.h
+++ b/tests/sim.h
@@ -43,8 +43,8 @@
 double sim_now (void);
 void sim_run (double seconds);
 
-/* --- nodes and links. Hosts are named "n0", "n1", ... (the nodes), "state", "cloud", and the
- * machines by their ids ------------------------------------------------------------------- */
+/* --- nodes and links --------------------------------------------------------------------- */
+/* Hosts are named "n0", "n1", ... (the nodes), "state", "cloud", and the machines by their ids. */
 void sim_node_start (guint i);
 /* Ends the node like SIGKILL. */
 void sim_node_kill (guint i);
@@ -59,7 +59,8 @@
 void sim_set_link_both (const char *a, const char *b, SimLinkState state);
 
 /* --- faults of the state service --------------------------------------------------------- */
-/* All requests but watches fail with 503, and no lease expires. Leases start anew at the end. */
+/* Watches get no response, and all other requests fail with 503. No lease expires; at the end of
+ * the outage each lease starts anew. */
 void sim_state_outage (gboolean on);
 /* The same for the requests of one node, while its leases run on. */
 void sim_state_refuse_node (guint node, gboolean on);
@@ -80,7 +81,7 @@
 /* The next n commits that put a key with that prefix are executed, and get their response, that
  * much later. */
 void sim_hold_commits (const char *prefix, guint n, double seconds);
-/* Returns state many of these commits are still to come. */
+/* Returns how many of these commits are still to come. */
 guint sim_commits_left_to_hold (void);
 
 /* --- faults of the machines and the cloud ------------------------------------------------ */
@@ -137,7 +138,7 @@
 /* --- users ------------------------------------------------------------------------------- */
 /* Adds a user with one job. The user repeats the submission until it is accepted, then polls the
  * job every 5 s; the checker judges each response. */
-void sim_submit (const char *id, const char *team, const char *rank, guint tasks, double cpus,
+void sim_submit (const char *id, const char *team, const char *priority, guint tasks, double cpus,
                  double run_s, double deadline_s);
 /* With SIM_ONE_ZONE all tasks have to run in the same zone; with SIM_SPREAD at most half of them,
  * rounded up, may run in one zone. */
@@ -161,7 +162,7 @@
 gboolean sim_all_jobs_finished (void);
 /* Declares that no more faults are injected. From now on no accepted job may be without a response
  * for 75 s, wait for 90 s although it could start (a machine has room and the team is within its
- * quota), or have started no task after 240 s. */
+ * quota), or have started no task after 240 s. A later call postpones the checks. */
 void sim_faults_over (void);
 /* Returns whether the liveness check, 30 s after sim_faults_over(), is complete: every live node
  * was asked whether it is ready, and every shard was checked for a live owner. */
@@ -187,7 +188,7 @@
 const char *sim_violations (void);
 /* Returns the number of machines in all shards' machine records. */
 guint sim_recorded_machines (void);
-/* Writes a key of the state service to a JSON value. */
+/* Sets a key of the state service to a JSON value, without a request from a node. */
 void sim_state_put (const char *key, const char *value);
 void sim_state_remove (const char *key);
 gboolean sim_state_has (const char *key);
--- a/tests/soak/backend.h
+++ b/tests/soak/backend.h
@@ -13,6 +13,6 @@
 void backend_stop (void);
 /* Returns the node that holds the leader's key, or -1. */
 int backend_leader (void);
-/* Records the error lines of the nodes' logs (e.g. broken invariants) and the sanitizers' findings as
- * violations. */
+/* Records the error lines of the nodes' logs (e.g. broken invariants) and the sanitizers' findings
+ * as violations. */
 void backend_check_logs (void);
--- a/tests/soak/soak.c
+++ b/tests/soak/soak.c
@@ -102,7 +102,7 @@
   return G_SOURCE_REMOVE;
 }
 
-/* Kills the current leader four times in a row. */
+/* Kills whichever node is the leader, four times in a row. */
 static void
 kill_leaders (Fault *fault, gboolean on)
 {
