--- a/tests/sim.c
+++ b/tests/sim.c
@@ -454,7 +454,7 @@
     json_decref (body);
     return;
   }
-  Call *c = fakes_call (from, method, host, path, body, timeout_ms / 1000.0, reply, data);
+  Call *c = fakes_call (from, method, host, path, body, timeout_ms / 1000.0, callback, data);
   if (cancel && g_cancellable_is_cancelled (cancel))
     schedule_after (0, complete_cancelled_call, c);
   else if (cancel)
