--- a/tests/test_liveness.c
+++ b/tests/test_liveness.c
@@ -1,95 +1,100 @@
-/* After a trouble every controller serves again, and no part stays without an owner who serves.
+/* Liveness: after faults are over, every controller serves again, and every shard has an owner that
+ * serves it.
  *
- * What was seen: an owner that was frozen while the state service was out again and again kept its
- * lease, went on, and never served its part again: its first read of who owns what had no end
- * (test_calls.c tells how), and everything that follows waited for that end. */
+ * The failure: an owner that was paused while the state service had one outage after another kept
+ * its lease, but never served its shard again after it had resumed. Its first list of the owner
+ * keys never completed (the head of test_calls.c says why), and all that follows waited for it. */
 #include "fixture.h"
 #include <math.h>
 
-#define OUTAGE_S 1.2
-#define STEP_S 0.1
-#define LONG_OUTAGE_S 8.0 /* longer than a node's lease */
-#define STATE_RPS 150.0   /* of the settings */
-#define FLAP_S 2.5
-#define FROZEN_S 9.0 /* longer than the lease: only the outages keep it */
+#define OUTAGE_S 1.2 /* length of each outage of the state service */
+#define OUTAGE_STEP_S 0.1
+#define LONG_OUTAGE_S 8.0     /* longer than a node's lease (6 s) */
+#define STATE_RPS_LIMIT 150.0 /* the settings' limit for all nodes together */
+#define OUTAGE_PERIOD_S 2.5   /* from the start of one outage to the next */
+#define PAUSE_S 9.0           /* longer than the lease, which only the outages prolong */
 
 static gboolean
-nothing_awaited (void)
+never (void)
 {
   return FALSE;
 }
 
-/* The state service is out for OUTAGE_S every `every_s`, for that long or until `over`. */
+/* Runs for duration_s, or until finished() is TRUE, with an outage of the state service of OUTAGE_S
+ * every period_s. */
 static void
-flap_until (double every_s, double for_s, gboolean (*over) (void))
+run_with_outages_until (double period_s, double duration_s, gboolean (*finished) (void))
 {
-  double begin_s = sim_now (), since_s = 0;
+  double started_s = sim_now (), elapsed_s = 0;
   gboolean out = FALSE;
-  for (; since_s < for_s && !over (); since_s = sim_now () - begin_s) {
-    if (out != (fmod (since_s + STEP_S / 2, every_s) < OUTAGE_S))
+  for (; elapsed_s < duration_s && !finished (); elapsed_s = sim_now () - started_s) {
+    if (out != (fmod (elapsed_s + OUTAGE_STEP_S / 2, period_s) < OUTAGE_S))
       sim_state_outage (out = !out);
-    sim_run (STEP_S);
+    sim_run (OUTAGE_STEP_S);
   }
   if (out)
     sim_state_outage (FALSE);
 }
 
 static void
-flap (double every_s, double for_s)
+run_with_outages (double period_s, double duration_s)
 {
-  flap_until (every_s, for_s, nothing_awaited);
+  run_with_outages_until (period_s, duration_s, never);
 }
 
 static void
-freeze_beside_flaps (guint node, double every_s, double for_s)
+pause_during_outages (guint node, double period_s, double duration_s)
 {
   sim_node_pause (node, TRUE);
-  flap (every_s, for_s);
+  run_with_outages (period_s, duration_s);
 }
 
 static void
-go_on (guint node)
+resume_node (guint node)
 {
   sim_node_pause (node, FALSE);
 }
 
 static void
-begin_with_work (void)
+start_with_jobs (void)
 {
   start_cluster (&default_options);
   submit_jobs (12, 20);
   sim_run (10);
 }
 
-/* The read that it begins as it goes on has no end, against what the HTTP client promises. */
+/* The list that the node starts when it resumes never completes, although the HTTP client promises
+ * an answer by the deadline. The node must recover by itself. */
 static void
-read_without_end (void)
+list_never_completes (void)
 {
-  begin_with_work ();
-  freeze_beside_flaps (0, FLAP_S, FROZEN_S);
-  g_assert_cmpint (sim_shard_owner (0), ==, 0); /* nobody else has taken its part */
+  start_with_jobs ();
+  pause_during_outages (0, OUTAGE_PERIOD_S, PAUSE_S);
+  g_assert_cmpint (sim_shard_owner (0), ==, 0); /* no other node has taken its shard */
   sim_drop_range_reads (0, 1);
-  go_on (0);
+  resume_node (0);
   sim_run (20);
   g_assert_cmpuint (sim_request (0, "GET", "/ready", NULL), ==, 200);
   finish_and_check (400);
 }
 
 static void
-test_read_without_end (void)
+test_list_never_completes (void)
 {
-  with_seeds (read_without_end);
+  with_seeds (list_never_completes);
 }
 
-/* It renews its lease and cannot read who owns what: another takes its part. */
+/* A node that can renew its lease but cannot list the owner keys must lose its shard to another. */
 static void
-reads_refused (void)
+lists_refused (void)
 {
-  begin_with_work ();
-  freeze_beside_flaps (0, FLAP_S, FROZEN_S);
+  start_with_jobs ();
+  pause_during_outages (0, OUTAGE_PERIOD_S, PAUSE_S);
   sim_state_refuse_range_reads (0, TRUE);
-  go_on (0);
-  sim_run (27); /* 15 s without a read, a lease of 6 s, and those who are due look in turn */
+  resume_node (0);
+  /* 15 s without a list until the node gives up its keys, a lease of 6 s, and the staggered waits
+   * of the other nodes. */
+  sim_run (27);
   g_assert_cmpint (sim_shard_owner (0), >, 0);
   sim_run (20);
   sim_state_refuse_range_reads (0, FALSE);
@@ -97,111 +102,113 @@
 }
 
 static void
-test_reads_refused (void)
+test_lists_refused (void)
 {
-  with_seeds (reads_refused);
+  with_seeds (lists_refused);
 }
 
 static void
-frozen_owner (double frozen_s, double every_s, gboolean two, gboolean again)
+paused_owner (double pause_s, double period_s, gboolean pause_second_node, gboolean pause_again)
 {
-  begin_with_work ();
+  start_with_jobs ();
   sim_cancel ("wk-000001");
-  if (two)
+  if (pause_second_node)
     sim_node_pause (1, TRUE);
-  freeze_beside_flaps (0, every_s, frozen_s);
-  go_on (0);
-  go_on (1);
-  if (again) {
+  pause_during_outages (0, period_s, pause_s);
+  resume_node (0);
+  resume_node (1);
+  if (pause_again) {
     sim_run (0.3);
-    freeze_beside_flaps (0, every_s, frozen_s);
-    go_on (0);
+    pause_during_outages (0, period_s, pause_s);
+    resume_node (0);
   }
   finish_and_check (400);
 }
 
-/* Frozen for less and for longer than the lease, the state service out at several rates, two
- * controllers at once, and once more right after it went on. */
+/* The owner is paused for less and for longer than a worker's lease (12 s), with outages of the
+ * state service at several rates; then two nodes are paused at once, and a node is paused once more
+ * right after it has resumed. */
 static void
-test_frozen_owner (void)
+test_paused_owner (void)
 {
-  const guint32 given = seed;
-  static const double frozen_s[] = { 8, 25, 45, 56, 70 }, every_s[] = { 1.7, 2.5, 4 };
-  for (guint f = 0; f < G_N_ELEMENTS (frozen_s); f++)
-    for (guint e = 0; e < G_N_ELEMENTS (every_s); e++) {
-      frozen_owner (frozen_s[f], every_s[e], FALSE, FALSE);
+  const guint32 given_seed = seed;
+  static const double pause_s[] = { 8, 25, 45, 56, 70 }, period_s[] = { 1.7, 2.5, 4 };
+  for (guint f = 0; f < G_N_ELEMENTS (pause_s); f++)
+    for (guint e = 0; e < G_N_ELEMENTS (period_s); e++) {
+      paused_owner (pause_s[f], period_s[e], FALSE, FALSE);
       seed++;
     }
-  frozen_owner (45, 2.5, TRUE, FALSE);
-  frozen_owner (25, 2.5, FALSE, TRUE);
-  frozen_owner (56, 1.7, TRUE, TRUE);
-  seed = given;
+  paused_owner (45, 2.5, TRUE, FALSE);
+  paused_owner (25, 2.5, FALSE, TRUE);
+  paused_owner (56, 1.7, TRUE, TRUE);
+  seed = given_seed;
 }
 
-#define OPEN_ELSEWHERE_S 15.0 /* an owner that is gone: until another holds its part */
-#define FLAPS_AT_MOST_S 70.0
+#define NEW_OWNER_WITHIN_S 15.0 /* until another node holds the shard of a lost owner */
+#define OUTAGES_MAX_S 70.0
 
 static gboolean
-another_owns (void)
+another_node_owns (void)
 {
   return sim_shard_owner (0) > 0;
 }
 
-/* Seconds until another node holds part 0 after its owner was frozen or ended, beside a state
- * service that is out every `every_s`; FLAPS_AT_MOST_S: none does. */
+/* Returns the seconds until another node holds shard 0 after its owner was paused or has crashed,
+ * with an outage of the state service every period_s; at least OUTAGES_MAX_S if none does. */
 static double
-unowned_for (double every_s, gboolean ended)
+time_without_owner (double period_s, gboolean crashed)
 {
-  begin_with_work ();
-  double gone_at = sim_now ();
-  if (ended)
+  start_with_jobs ();
+  double lost_at = sim_now ();
+  if (crashed)
     sim_node_kill (0);
   else
     sim_node_pause (0, TRUE);
-  flap_until (every_s, FLAPS_AT_MOST_S, another_owns);
-  double unowned_s = sim_now () - gone_at;
-  g_test_message ("state service out every %.1f s, owner %s: %.1f s without an owner, %s", every_s,
-                  ended ? "ended" : "frozen", unowned_s,
-                  sim_shard_owner (0) == 0 ? "then still none" : "then another");
+  run_with_outages_until (period_s, OUTAGES_MAX_S, another_node_owns);
+  double unowned_s = sim_now () - lost_at;
+  g_test_message ("outage every %.1f s, owner %s: %.1f s until a new owner, %s", period_s,
+                  crashed ? "crashed" : "paused", unowned_s,
+                  sim_shard_owner (0) == 0 ? "none found" : "found");
   sim_stop ();
   return unowned_s;
 }
 
-/* What is seen: an owner that is frozen or has ended keeps its part for as long as the state
- * service is out more often than every 6 s, although it answers more than half of the time. Why:
- * after an outage all leases have their full time again, by the protocol, and a part is free only
- * when its owner's lease has run out. */
+/* The failure: an owner that was paused or had crashed kept its shard for as long as outages of the
+ * state service came more often than every 6 s, although the service answered more than half of the
+ * time. By its protocol all leases have their full time again after an outage, and a shard is free
+ * only when its owner's lease has expired. */
 static void
-test_owner_gone_beside_flaps (void)
+test_owner_lost_during_outages (void)
 {
-  static const double every_s[] = { 10, 4, 2.5, 1.7 };
-  for (guint e = 0; e < G_N_ELEMENTS (every_s); e++)
-    for (guint ended = 0; ended < 2; ended++)
-      g_assert_cmpfloat (unowned_for (every_s[e], ended), <=, OPEN_ELSEWHERE_S);
+  static const double period_s[] = { 10, 4, 2.5, 1.7 };
+  for (guint e = 0; e < G_N_ELEMENTS (period_s); e++)
+    for (guint crashed = 0; crashed < 2; crashed++)
+      g_assert_cmpfloat (time_without_owner (period_s[e], crashed), <=, NEW_OWNER_WITHIN_S);
 }
 
 static gboolean
-first_lost_its_part (void)
+first_owner_lost_shard (void)
 {
   return sim_shard_owner (0) != 0;
 }
 
-/* Healthy nodes that do not reach each other, with a watch that is 3 s late: none is taken for
- * gone, since each shows itself unasked. Or (one way) one that reaches its peers and is not
- * reached: it learns of the probe from its watch alone. */
+/* No healthy node may be declared dead. Without one_way, no node reaches another and watches are
+ * 3 s late: each node refreshes its presence without waiting to see a probe. With one_way,
+ * watches are 1 s late and node 0 reaches its peers, but they do not reach it: it learns of the
+ * probe from its watch alone. */
 static void
-healthy_unreached (double every_s, gboolean one_way)
+healthy_node_unreachable (double period_s, gboolean one_way)
 {
-  begin_with_work ();
+  start_with_jobs ();
   guint requests = sim_state_request_count ();
   sim_node_drop_peer_requests (0, one_way);
   if (!one_way)
     set_peer_links (SIM_LINK_DROP);
   sim_watch_delay (one_way ? 1 : 3);
-  flap_until (every_s, FLAPS_AT_MOST_S, first_lost_its_part);
-  g_assert_false (first_lost_its_part ()); /* at no moment, though it may renew its token */
+  run_with_outages_until (period_s, OUTAGES_MAX_S, first_owner_lost_shard);
+  g_assert_false (first_owner_lost_shard ()); /* at no time, though its token may change */
   g_assert_cmpuint (sim_leases_revoked (), ==, 0);
-  g_assert_cmpfloat ((sim_state_request_count () - requests) / FLAPS_AT_MOST_S, <, STATE_RPS);
+  g_assert_cmpfloat ((sim_state_request_count () - requests) / OUTAGES_MAX_S, <, STATE_RPS_LIMIT);
   sim_watch_delay (0);
   set_peer_links (SIM_LINK_UP);
   sim_node_drop_peer_requests (0, FALSE);
@@ -209,21 +216,22 @@
 }
 
 static void
-test_healthy_unreached (void)
+test_healthy_node_unreachable (void)
 {
-  static const double every_s[] = { 4, 2.5, 1.7 };
-  for (guint e = 0; e < G_N_ELEMENTS (every_s); e++) {
-    healthy_unreached (every_s[e], FALSE);
-    healthy_unreached (every_s[e], TRUE);
+  static const double period_s[] = { 4, 2.5, 1.7 };
+  for (guint e = 0; e < G_N_ELEMENTS (period_s); e++) {
+    healthy_node_unreachable (period_s[e], FALSE);
+    healthy_node_unreachable (period_s[e], TRUE);
   }
 }
 
-/* Outages that last longer than a probe's time: what counts is when the service answers. A node
- * that is reached by no peer has 1.5 s of that for its watch and its answer, and 6 s in all. */
+/* Outages that last longer than a probe: only time in which the state service answers may count. A
+ * node that no peer reaches has 1.5 s of such time for its watch and its answer to the probe, and
+ * 6 s in total. */
 static void
 long_outages (double first_up_s)
 {
-  begin_with_work ();
+  start_with_jobs ();
   sim_node_drop_peer_requests (0, TRUE);
   sim_watch_delay (0.4);
   for (guint i = 0; i < 12; i++) {
@@ -246,28 +254,29 @@
 }
 
 static void
-short_stops (double every_s, double stop_s)
+short_stalls (double period_s, double stall_s)
 {
-  begin_with_work ();
+  start_with_jobs ();
   for (guint i = 0; i < 8; i++) {
-    freeze_beside_flaps (0, every_s, stop_s);
-    go_on (0);
-    flap (every_s, 3);
+    pause_during_outages (0, period_s, stall_s);
+    resume_node (0);
+    run_with_outages (period_s, 3);
   }
   g_assert_cmpuint (sim_leases_revoked (), ==, 0);
   finish_and_check (400);
 }
 
-/* A node that stands still for less than its lease, again and again, keeps its lease (it may hand
- * its part on, where no machine reports to it any more). */
+/* A node whose process stalls again and again, each time for less than its lease, keeps the lease.
+ * It may hand its shard over when no machine reports to it any more. */
 static void
-test_short_stops (void)
+test_short_stalls (void)
 {
-  short_stops (FLAP_S, 5);
-  short_stops (5, 5.7);
+  short_stalls (OUTAGE_PERIOD_S, 5);
+  short_stalls (5, 5.7);
 }
 
-/* Its presence is of an older version, or none of ours: its lease is left to run out. */
+/* The presence value was written by an older version or is malformed, so it names no lease: the
+ * other nodes must leave the lease to expire. */
 static void
 test_presence_without_lease (void)
 {
@@ -278,29 +287,30 @@
                                         "[]",
                                         "null" };
   for (guint i = 0; i < G_N_ELEMENTS (values); i++) {
-    begin_with_work ();
+    start_with_jobs ();
     sim_node_pause (0, TRUE);
     sim_state_put ("c/node/berth-0", values[i]);
-    flap (FLAP_S, 30);
+    run_with_outages (OUTAGE_PERIOD_S, 30);
     g_assert_cmpuint (sim_leases_revoked (), ==, 0);
     g_assert_cmpint (sim_shard_owner (0), ==, 0);
-    go_on (0);
+    resume_node (0);
     finish_and_check (400);
   }
 }
 
-/* One that probes ends before its verdict; another goes on. */
+/* A node that probes the lost owner crashes before it has decided; another node must carry
+ * on. */
 static void
-test_prober_ends (void)
+test_prober_crashes (void)
 {
-  begin_with_work ();
-  double gone_at = sim_now ();
+  start_with_jobs ();
+  double lost_at = sim_now ();
   sim_node_pause (0, TRUE);
-  flap (FLAP_S, 5);
+  run_with_outages (OUTAGE_PERIOD_S, 5);
   crash_and_restart (1, 4);
-  flap_until (FLAP_S, FLAPS_AT_MOST_S, another_owns);
-  g_assert_cmpfloat (sim_now () - gone_at, <=, OPEN_ELSEWHERE_S);
-  go_on (0);
+  run_with_outages_until (OUTAGE_PERIOD_S, OUTAGES_MAX_S, another_node_owns);
+  g_assert_cmpfloat (sim_now () - lost_at, <=, NEW_OWNER_WITHIN_S);
+  resume_node (0);
   finish_and_check (400);
 }
 
@@ -308,14 +318,14 @@
 main (int argc, char **argv)
 {
   fixture_init (&argc, &argv);
-  g_test_add_func ("/liveness/read-without-end", test_read_without_end);
-  g_test_add_func ("/liveness/reads-refused", test_reads_refused);
-  g_test_add_func ("/liveness/frozen-owner", test_frozen_owner);
-  g_test_add_func ("/liveness/owner-gone-beside-flaps", test_owner_gone_beside_flaps);
-  g_test_add_func ("/liveness/healthy-unreached", test_healthy_unreached);
+  g_test_add_func ("/liveness/list-never-completes", test_list_never_completes);
+  g_test_add_func ("/liveness/lists-refused", test_lists_refused);
+  g_test_add_func ("/liveness/paused-owner", test_paused_owner);
+  g_test_add_func ("/liveness/owner-lost-during-outages", test_owner_lost_during_outages);
+  g_test_add_func ("/liveness/healthy-node-unreachable", test_healthy_node_unreachable);
   g_test_add_func ("/liveness/long-outages", test_long_outages);
-  g_test_add_func ("/liveness/short-stops", test_short_stops);
+  g_test_add_func ("/liveness/short-stalls", test_short_stalls);
   g_test_add_func ("/liveness/presence-without-lease", test_presence_without_lease);
-  g_test_add_func ("/liveness/prober-ends", test_prober_ends);
+  g_test_add_func ("/liveness/prober-crashes", test_prober_crashes);
   return g_test_run ();
 }
