--- a/tests/test_clock.c
+++ b/tests/test_clock.c
@@ -1,55 +1,56 @@
-/* The real clock and main loop: what the tests of whole nodes replace. */
+/* Tests the real clock and main loop, which the tests of whole nodes replace with simulated ones.
+ */
 #include "clock.h"
 
-static GString *order;
+static GString *events;
 static GMainLoop *loop;
 
 static gboolean
-stood_still (gpointer data)
+on_stall (gpointer data)
 {
-  g_string_append (order, "stall ");
+  g_string_append (events, "stall ");
   return G_SOURCE_CONTINUE;
 }
 
 static gboolean
-stand (gpointer data)
+block_loop (gpointer data)
 {
-  g_string_append (order, "stand ");
+  g_string_append (events, "block ");
   g_usleep (1500000);
   return G_SOURCE_REMOVE;
 }
 
 static gboolean
-note (gpointer data)
+log_event (gpointer data)
 {
-  g_string_append (order, data);
+  g_string_append (events, data);
   return G_SOURCE_REMOVE;
 }
 
 static gboolean
-end (gpointer data)
+quit (gpointer data)
 {
   g_main_loop_quit (loop);
   return G_SOURCE_REMOVE;
 }
 
-/* Standing still is noticed before what came due meanwhile is handled, once, and not where the loop
- * merely waits. */
+/* A stall of the main loop is reported once, before the timers that came due meanwhile are
+ * dispatched. A loop that only waits for its next timer is not reported. */
 static void
 test_stall (void)
 {
-  order = g_string_new (NULL);
+  events = g_string_new (NULL);
   loop = g_main_loop_new (NULL, FALSE);
-  kr_stall_detector_add (1000, stood_still, NULL);
-  for (guint ms = 50; ms <= 4000; ms += 50) /* as a node's duties do */
-    kr_timer_add (ms, note, (gpointer) "");
-  kr_timer_add (500, stand, NULL);
-  kr_timer_add (1200, note, (gpointer) "due ");
-  kr_timer_add (3500, end, NULL);
+  kr_stall_detector_add (1000, on_stall, NULL);
+  for (guint ms = 50; ms <= 4000; ms += 50) /* as a node's periodic timers do */
+    kr_timer_add (ms, log_event, (gpointer) "");
+  kr_timer_add (500, block_loop, NULL);
+  kr_timer_add (1200, log_event, (gpointer) "due ");
+  kr_timer_add (3500, quit, NULL);
   g_main_loop_run (loop);
-  g_assert_cmpstr (order->str, ==, "stand stall due ");
+  g_assert_cmpstr (events->str, ==, "block stall due ");
   g_main_loop_unref (loop);
-  g_string_free (order, TRUE);
+  g_string_free (events, TRUE);
 }
 
 int
