--- a/tests/test_http.c
+++ b/tests/test_http.c
@@ -1,5 +1,5 @@
-/* The real server on loopback: what broken or greedy clients may do, and what many calls at
- * once cost. */
+/* The real HTTP server and client on loopback: how the server handles malformed, oversized and
+ * reset requests, and what many concurrent calls cost the client. */
 #include "constants.h"
 #include "http-client.h"
 #include "http-server.h"
@@ -10,17 +10,17 @@
 static GMainLoop *loop;
 static KrHttpServer *server;
 static guint16 port;
-static guint handled;
+static guint requests_handled;
 
 static void
 handler (KrRequest *request, gpointer data)
 {
-  handled++;
+  requests_handled++;
   kr_request_reply (request, kr_request_json (request) ? 200 : 400,
                     json_pack ("{ss}", "path", kr_request_path (request)), 7);
 }
 
-/* A port that is free now. */
+/* Returns a TCP port that is free at this moment. */
 static guint16
 free_port (void)
 {
@@ -35,15 +35,15 @@
 typedef struct {
   const char *text;
   gsize length;
-  GString *answer;
-} Talk;
+  GString *response;
+} Exchange;
 
-/* Blocking, in a thread of its own: writes all, then reads until the server closes or has answered.
- */
+/* Runs in its own thread with blocking I/O: writes the request, then reads until the response's
+ * headers are complete or the server closes. */
 static gpointer
-talk_thread (gpointer data)
+exchange_thread (gpointer data)
 {
-  Talk *t = data;
+  Exchange *t = data;
   g_autoptr (GSocketClient) client = g_socket_client_new ();
   g_autoptr (GSocketConnection) c =
       g_socket_client_connect_to_host (client, "127.0.0.1", port, NULL, NULL);
@@ -54,8 +54,8 @@
                                NULL, NULL, NULL);
     while ((n = g_input_stream_read (g_io_stream_get_input_stream (G_IO_STREAM (c)), buffer,
                                      sizeof buffer, NULL, NULL)) > 0) {
-      g_string_append_len (t->answer, buffer, n);
-      if (strstr (t->answer->str, "\r\n\r\n"))
+      g_string_append_len (t->response, buffer, n);
+      if (strstr (t->response->str, "\r\n\r\n"))
         break;
     }
   }
@@ -63,19 +63,20 @@
   return NULL;
 }
 
+/* Sends raw bytes to the server. Returns the response's status, 0 if there was none. */
 static guint
-talk (const char *text, gsize length, char **headers)
+exchange (const char *text, gsize length, char **headers)
 {
-  Talk t = { text, length, g_string_new (NULL) };
-  GThread *thread = g_thread_new ("talk", talk_thread, &t);
+  Exchange t = { text, length, g_string_new (NULL) };
+  GThread *thread = g_thread_new ("exchange", exchange_thread, &t);
   guint status = 0;
   g_main_loop_run (loop);
   g_thread_join (thread);
-  if (g_str_has_prefix (t.answer->str, "HTTP/1.1 "))
-    status = (guint) atoi (t.answer->str + strlen ("HTTP/1.1 "));
+  if (g_str_has_prefix (t.response->str, "HTTP/1.1 "))
+    status = (guint) atoi (t.response->str + strlen ("HTTP/1.1 "));
   if (headers)
-    *headers = g_strdup (t.answer->str);
-  g_string_free (t.answer, TRUE);
+    *headers = g_strdup (t.response->str);
+  g_string_free (t.response, TRUE);
   return status;
 }
 
@@ -85,7 +86,7 @@
   g_autoptr (GString) s = g_string_new (NULL);
   g_string_printf (s, "POST /x HTTP/1.1\r\nHost: h\r\nContent-Length: %zu\r\n\r\n", length);
   g_string_append_len (s, body, (gssize) length);
-  return talk (s->str, s->len, headers);
+  return exchange (s->str, s->len, headers);
 }
 
 static void
@@ -97,22 +98,23 @@
   g_assert_cmpuint (post ("{\"a\":", 5, NULL), ==, 400);
 }
 
-/* Over the limit: refused without the handler ever seeing it, and later clients are served. */
+/* A body over the limit is refused without a call of the handler, and later clients are served. */
 static void
 test_large (void)
 {
   gsize n = KR_BODY_MAX_BYTES + 1;
   g_autofree char *body = g_malloc (n);
-  guint before = handled;
+  guint before = requests_handled;
   memset (body, ' ', n);
   g_assert_cmpuint (post (body, n, NULL), ==, 413);
-  g_assert_cmpuint (handled, ==, before);
+  g_assert_cmpuint (requests_handled, ==, before);
   body[0] = '{';
   body[1] = '}';
   g_assert_cmpuint (post (body, KR_BODY_MAX_BYTES, NULL), ==, 200);
 }
 
-/* A body of untold length is cut off at the limit: it never counts as a whole one. */
+/* A chunked body, whose length is not known in advance, is refused when it passes the limit; the
+ * part before the limit is not taken for a complete body. */
 static void
 test_chunked (void)
 {
@@ -125,7 +127,7 @@
     g_string_append (s, "\r\n");
   }
   g_string_append (s, "2\r\n{}\r\n0\r\n\r\n");
-  g_assert_cmpuint (talk (s->str, s->len, NULL), ==, 413);
+  g_assert_cmpuint (exchange (s->str, s->len, NULL), ==, 413);
 }
 
 static void
@@ -134,52 +136,53 @@
   const char *bad[] = { "GARBAGE\r\n\r\n", "POST /x\r\n\r\n", "GET http://[ HTTP/1.1\r\n\r\n",
                         "POST /x HTTP/1.1\r\nHost: h\r\nContent-Length: -1\r\n\r\n" };
   for (guint i = 0; i < G_N_ELEMENTS (bad); i++)
-    g_assert_cmpuint (talk (bad[i], strlen (bad[i]), NULL), !=, 200);
+    g_assert_cmpuint (exchange (bad[i], strlen (bad[i]), NULL), !=, 200);
   g_assert_cmpuint (post ("{}", 2, NULL), ==, 200);
 }
 
-/* --- reset --------------------------------------------------------------------------- */
-/* Connects, and resets the connection at once: the server finds it in its backlog later. */
+/* --- reset --------------------------------------------------------------------------------- */
+/* Connects and resets the connection at once. It is reset already when the server accepts it from
+ * its backlog. */
 static void
 connect_and_reset (void)
 {
-  const struct linger at_once = { 1, 0 };
+  const struct linger linger_zero = { 1, 0 };
   g_autoptr (GError) error = NULL;
   g_autoptr (GSocketAddress) to = g_inet_socket_address_new_from_string ("127.0.0.1", port);
   g_autoptr (GSocket) socket =
       g_socket_new (G_SOCKET_FAMILY_IPV4, G_SOCKET_TYPE_STREAM, G_SOCKET_PROTOCOL_TCP, &error);
   g_assert_true (g_socket_connect (socket, to, NULL, &error));
   g_assert_no_error (error);
-  g_assert_cmpint (
-      setsockopt (g_socket_get_fd (socket), SOL_SOCKET, SO_LINGER, &at_once, sizeof at_once), ==,
-      0);
+  g_assert_cmpint (setsockopt (g_socket_get_fd (socket), SOL_SOCKET, SO_LINGER, &linger_zero,
+                               sizeof linger_zero),
+                   ==, 0);
   g_socket_close (socket, NULL);
 }
 
-/* What happened: "error" lines in the log, on which operators alarm, whenever a client or the
- * balancer gave a connection up and reset it before the server had accepted it.
- * Why: such a connection has no remote address any more, and we handed it to libsoup without one:
+/* The failure: "error" lines in the log, on which operators alarm, whenever a client or the load
+ * balancer reset a connection before the server had accepted it. Such a connection has no remote
+ * address any more, and the server passed it to libsoup without one:
  * "soup_server_connection_new_for_connection: assertion 'G_IS_SOCKET_ADDRESS (remote_addr)'
- * failed". The test framework makes such criticals fatal. Clients after it are served. */
+ * failed". GTest makes such criticals fatal. Later clients must be served. */
 static void
 test_reset_before_accept (void)
 {
   for (guint i = 0; i < 5; i++)
     connect_and_reset ();
   g_assert_cmpuint (post ("{}", 2, NULL), ==, 200);
-  for (guint i = 0; i < 20; i++) { /* more than it takes connections at once: none is leaked */
+  for (guint i = 0; i < 20; i++) { /* more than the server's limit of connections, to show a leak */
     connect_and_reset ();
     g_assert_cmpuint (post ("{}", 2, NULL), ==, 200);
   }
 }
 
-/* --- many calls ---------------------------------------------------------------------- */
-static guint calls_left;
+/* --- cost of many calls -------------------------------------------------------------------- */
+static guint calls_in_flight;
 
 static void
-call_over (guint status, json_t *body, gpointer data)
+on_response (guint status, json_t *body, gpointer data)
 {
-  if (--calls_left == 0)
+  if (--calls_in_flight == 0)
     g_main_loop_quit (loop);
 }
 
@@ -191,11 +194,11 @@
   return (double) t.tv_sec + (double) t.tv_nsec / 1e9;
 }
 
-/* A listener that accepts nothing: connections stand, no request is answered. */
+/* A listener that never accepts: the kernel completes connections, no request is answered. */
 static GSocket *
-silent_listener (guint16 at)
+unaccepting_listener (guint16 listener_port)
 {
-  g_autoptr (GSocketAddress) any = g_inet_socket_address_new_from_string ("0.0.0.0", at);
+  g_autoptr (GSocketAddress) any = g_inet_socket_address_new_from_string ("0.0.0.0", listener_port);
   GSocket *socket =
       g_socket_new (G_SOCKET_FAMILY_IPV4, G_SOCKET_TYPE_STREAM, G_SOCKET_PROTOCOL_TCP, NULL);
   g_socket_set_listen_backlog (socket, KR_ACCEPT_BACKLOG_MAX);
@@ -203,16 +206,16 @@
   return socket;
 }
 
-/* Processor time a call of so many that are asked for at once, each of another host. */
+/* Returns the CPU seconds for each of `count` calls made at once, each to another host. */
 static double
-cost_of_calls (guint count, guint16 at)
+cpu_s_per_call (guint count, guint16 listener_port)
 {
   KrHttpClient *client = kr_http_client_new (32, 2, 15);
   double before = thread_cpu_s ();
-  calls_left = count;
+  calls_in_flight = count;
   for (guint i = 0; i < count; i++) {
-    g_autofree char *host = g_strdup_printf ("127.1.%u.%u:%u", i / 250, 1 + i % 250, at);
-    kr_http_client_call (client, "GET", host, "/show", NULL, 300, NULL, call_over, NULL);
+    g_autofree char *host = g_strdup_printf ("127.1.%u.%u:%u", i / 250, 1 + i % 250, listener_port);
+    kr_http_client_call (client, "GET", host, "/show", NULL, 300, NULL, on_response, NULL);
   }
   g_main_loop_run (loop);
   double cost = (thread_cpu_s () - before) / count;
@@ -220,20 +223,21 @@
   return cost;
 }
 
-/* What happened: an owner with 4% of a core cancelled jobs on 160 machines, sent several commands
- * to each of them at once and each second again, and its main loop did nothing else for 20 s
- * (incident: log of bench/mutes.toml, seed 1, "berth-1 stood still" at 145.9 s after its last line
- * at 126.2 s). So it lost its key. Why: libsoup walks over all its messages whenever one begins or
- * ends, so a call cost the more the more of them waited: 0.24 ms of processor time with 100 calls
- * at once, 1.15 ms with 800, with gaps of 270 ms in the loop. What waits must cost nothing. */
+/* The failure: an owner with 4% of a core cancelled jobs on 160 machines. It sent several commands
+ * at once to each of them, again every second, and its main loop did nothing else for 20 s, so the
+ * node lost its key (bench/mutes.toml, seed 1: the node berth-1 logged nothing from 126.2 s to
+ * 145.9 s). libsoup iterates over all its messages whenever one begins or ends, so each call cost
+ * more the more calls waited: 0.24 ms of CPU time with 100 calls at once, 1.15 ms with 800, with
+ * gaps of 270 ms in the loop. Waiting calls must cost nothing. */
 static void
 test_many_calls (void)
 {
-  guint16 at = free_port ();
-  g_autoptr (GSocket) listener = silent_listener (at);
-  cost_of_calls (50, at); /* what is made once */
-  double few = cost_of_calls (100, at), many = cost_of_calls (3200, at);
-  g_test_message ("a call of 100: %.3f ms, of 3200: %.3f ms", few * 1e3, many * 1e3);
+  guint16 listener_port = free_port ();
+  g_autoptr (GSocket) listener = unaccepting_listener (listener_port);
+  cpu_s_per_call (50, listener_port); /* one-time initialization, not measured */
+  double few = cpu_s_per_call (100, listener_port), many = cpu_s_per_call (3200, listener_port);
+  g_test_message ("CPU time per call: %.3f ms with 100 calls, %.3f ms with 3200", few * 1e3,
+                  many * 1e3);
   g_assert_cmpfloat (many, <, 2 * few);
 }
 
