--- a/tests/test_allocation.c
+++ b/tests/test_allocation.c
@@ -1,129 +1,132 @@
-/* Shares against a slow plain model, on random inputs; GTest prints the seed. */
+/* The allocation of machines to shards: the max-min shares compared with a simple, slow model on
+ * random inputs (GTest prints the seed), and small cases of the rest. */
 #include "allocation.h"
 #include <math.h>
 
-/* Pours the supply out in drops, each to the emptiest part that still wants. */
+/* Distributes the supply in small steps, each to the shard that has least and still wants more. */
 static void
 model_targets (const double *demand, guint shards, double supply, double *targets)
 {
-  const double drop = 0.01;
-  guint drops = (guint) ceil (supply / drop);
-  for (guint p = 0; p < shards; p++)
-    targets[p] = 0;
-  for (; drops > 0; drops--) {
-    gint least = -1;
-    for (guint p = 0; p < shards; p++)
-      if (targets[p] + drop <= demand[p] && (least < 0 || targets[p] < targets[least]))
-        least = (gint) p;
-    if (least < 0)
+  const double step = 0.01;
+  guint steps = (guint) ceil (supply / step);
+  for (guint shard = 0; shard < shards; shard++)
+    targets[shard] = 0;
+  for (; steps > 0; steps--) {
+    gint lowest = -1;
+    for (guint shard = 0; shard < shards; shard++)
+      if (targets[shard] + step <= demand[shard] &&
+          (lowest < 0 || targets[shard] < targets[lowest]))
+        lowest = (gint) shard;
+    if (lowest < 0)
       return;
-    targets[least] += drop;
+    targets[lowest] += step;
   }
 }
 
 static void
-test_targets (void)
+test_max_min (void)
 {
   for (guint i = 0; i < 300; i++) {
     guint shards = (guint) g_test_rand_int_range (1, 7);
-    double demand[7], got[7], want[7], supply = g_test_rand_double_range (0, 100);
-    for (guint p = 0; p < shards; p++)
-      demand[p] = g_test_rand_bit () ? 0 : g_test_rand_double_range (0, 60);
-    kr_allocation_max_min (demand, shards, supply, got);
-    model_targets (demand, shards, supply, want);
-    for (guint p = 0; p < shards; p++)
-      g_assert_cmpfloat (fabs (got[p] - want[p]), <, 0.05);
+    double demand[7], targets[7], expected[7], supply = g_test_rand_double_range (0, 100);
+    for (guint shard = 0; shard < shards; shard++)
+      demand[shard] = g_test_rand_bit () ? 0 : g_test_rand_double_range (0, 60);
+    kr_allocation_max_min (demand, shards, supply, targets);
+    model_targets (demand, shards, supply, expected);
+    for (guint shard = 0; shard < shards; shard++)
+      g_assert_cmpfloat (fabs (targets[shard] - expected[shard]), <, 0.05);
   }
 }
 
 static KrDemand *
-need (guint shard, double cpus, double slots, gboolean spot)
+demand_new (guint shard, double cpus, double slots, gboolean spot)
 {
-  KrDemand *n = g_new0 (KrDemand, 1);
-  n->shard = shard;
-  n->goal_slots = n->max_slots = slots;
-  n->requirements = g_new0 (KrJobSpec, 1);
-  n->requirements->cpus = cpus;
-  n->requirements->spot_allowed = spot;
-  return n;
+  KrDemand *demand = g_new0 (KrDemand, 1);
+  demand->shard = shard;
+  demand->goal_slots = demand->max_slots = slots;
+  demand->requirements = g_new0 (KrJobSpec, 1);
+  demand->requirements->cpus = cpus;
+  demand->requirements->spot_allowed = spot;
+  return demand;
 }
 
 static KrSupply *
-supply (const char *id, const KrMachineType *type, gint shard, gboolean spot)
+supply_new (const char *id, const KrMachineType *type, gint shard, gboolean spot)
 {
-  KrSupply *s = g_new0 (KrSupply, 1);
-  s->id = g_strdup (id);
-  s->type = type;
-  s->zone = "z";
-  s->shard = shard;
-  s->spot = spot;
-  return s;
+  KrSupply *machine = g_new0 (KrSupply, 1);
+  machine->id = g_strdup (id);
+  machine->type = type;
+  machine->zone = "z";
+  machine->shard = shard;
+  machine->spot = spot;
+  return machine;
 }
 
-/* Own needs first, spot before ordinary; what may not use spot gets none. */
+/* Machines serve their own shard's demand first, spot before on-demand machines. Spot machines do
+ * not serve demand that does not allow them. */
 static void
 test_match (void)
 {
   const KrMachineType t = { .name = (char *) "t", .cpus = 8, .mem_gb = 64 };
-  g_autoptr (GPtrArray) needs = g_ptr_array_new_with_free_func (kr_demand_free);
-  g_autoptr (GPtrArray) all = g_ptr_array_new_with_free_func (kr_supply_free);
-  g_ptr_array_add (needs, need (0, 1, 8, TRUE));
-  g_ptr_array_add (needs, need (1, 4, 3, FALSE));
-  KrSupply *ordinary = supply ("a", &t, 0, FALSE), *spot = supply ("b", &t, 0, TRUE),
-           *idle = supply ("c", &t, 1, TRUE);
-  g_ptr_array_add (all, ordinary);
-  g_ptr_array_add (all, spot);
-  g_ptr_array_add (all, idle);
-  kr_allocation_match (needs, all, FALSE);
-  g_assert_cmpfloat (((KrDemand *) needs->pdata[0])->unmet_slots, ==, 0);
-  g_assert_cmpfloat (((KrDemand *) needs->pdata[1])->unmet_slots, ==, 1);
+  g_autoptr (GPtrArray) demands = g_ptr_array_new_with_free_func (kr_demand_free);
+  g_autoptr (GPtrArray) supplies = g_ptr_array_new_with_free_func (kr_supply_free);
+  g_ptr_array_add (demands, demand_new (0, 1, 8, TRUE));
+  g_ptr_array_add (demands, demand_new (1, 4, 3, FALSE));
+  KrSupply *on_demand = supply_new ("a", &t, 0, FALSE), *spot = supply_new ("b", &t, 0, TRUE),
+           *idle = supply_new ("c", &t, 1, TRUE);
+  g_ptr_array_add (supplies, on_demand);
+  g_ptr_array_add (supplies, spot);
+  g_ptr_array_add (supplies, idle);
+  kr_allocation_match (demands, supplies, FALSE);
+  g_assert_cmpfloat (((KrDemand *) demands->pdata[0])->unmet_slots, ==, 0);
+  g_assert_cmpfloat (((KrDemand *) demands->pdata[1])->unmet_slots, ==, 1);
   g_assert_cmpfloat (spot->unused, <, 1e-6);
-  g_assert_cmpfloat (ordinary->unused, <, 1e-6); /* two of the three */
+  g_assert_cmpfloat (on_demand->unused, <, 1e-6); /* serves 2 of the 3 slots */
   g_assert_cmpfloat (idle->unused, ==, 1);
 }
 
-/* Urgent work first, then the goals, and what is over goes to work that could run but need not yet;
- * what is asked for renting is the goals' part alone. */
+/* Urgent work comes first, then what the goals of other work require; the rest goes to work that
+ * could run but is not required yet. Only what the goals require counts for renting. */
 static void
-test_of_parts (void)
+test_shard_targets (void)
 {
   KrMachineType t = { .name = (char *) "t", .cpus = 8, .mem_gb = 64 };
   g_autoptr (GPtrArray) types = g_ptr_array_new ();
-  g_autoptr (GPtrArray) needs = g_ptr_array_new_with_free_func (kr_demand_free);
-  g_autoptr (GPtrArray) all = g_ptr_array_new_with_free_func (kr_supply_free);
+  g_autoptr (GPtrArray) demands = g_ptr_array_new_with_free_func (kr_demand_free);
+  g_autoptr (GPtrArray) supplies = g_ptr_array_new_with_free_func (kr_supply_free);
   double targets[3];
   g_ptr_array_add (types, &t);
-  KrDemand *urgent = need (0, 1, 10, TRUE), *paced = need (1, 1, 4, TRUE),
-           *small = need (2, 1, 6, TRUE);
+  KrDemand *urgent = demand_new (0, 1, 10, TRUE), *extensible = demand_new (1, 1, 4, TRUE),
+           *normal = demand_new (2, 1, 6, TRUE);
   urgent->urgent = TRUE;
-  paced->max_slots = 100;
-  g_ptr_array_add (needs, urgent);
-  g_ptr_array_add (needs, paced);
-  g_ptr_array_add (needs, small);
-  kr_allocation_shard_targets (needs, types, 3, 14, targets);
+  extensible->max_slots = 100;
+  g_ptr_array_add (demands, urgent);
+  g_ptr_array_add (demands, extensible);
+  g_ptr_array_add (demands, normal);
+  kr_allocation_shard_targets (demands, types, 3, 14, targets);
   g_assert_cmpfloat (targets[0], ==, 10);
   g_assert_cmpfloat (targets[1], ==, 2);
   g_assert_cmpfloat (targets[2], ==, 2);
-  kr_allocation_shard_targets (needs, types, 3, 64, targets);
+  kr_allocation_shard_targets (demands, types, 3, 64, targets);
   g_assert_cmpfloat (targets[0], ==, 10);
   g_assert_cmpfloat (targets[1], ==, 48);
   g_assert_cmpfloat (targets[2], ==, 6);
   for (guint i = 0; i < 4; i++) {
     g_autofree char *id = g_strdup_printf ("m%u", i);
-    g_ptr_array_add (all, supply (id, &t, 1, TRUE));
+    g_ptr_array_add (supplies, supply_new (id, &t, 1, TRUE));
   }
-  kr_allocation_match (needs, all, TRUE);
-  g_assert_cmpfloat (((KrSupply *) all->pdata[3])->unused, <, 1e-6);
-  kr_allocation_match (needs, all, FALSE);
-  g_assert_cmpfloat (((KrSupply *) all->pdata[3])->unused, >, 0.5);
+  kr_allocation_match (demands, supplies, TRUE);
+  g_assert_cmpfloat (((KrSupply *) supplies->pdata[3])->unused, <, 1e-6);
+  kr_allocation_match (demands, supplies, FALSE);
+  g_assert_cmpfloat (((KrSupply *) supplies->pdata[3])->unused, >, 0.5);
 }
 
 int
 main (int argc, char **argv)
 {
   g_test_init (&argc, &argv, NULL);
-  g_test_add_func ("/shares/targets", test_targets);
-  g_test_add_func ("/shares/match", test_match);
-  g_test_add_func ("/shares/of-parts", test_of_parts);
+  g_test_add_func ("/allocation/max-min", test_max_min);
+  g_test_add_func ("/allocation/match", test_match);
+  g_test_add_func ("/allocation/shard-targets", test_shard_targets);
   return g_test_run ();
 }
