--- a/tests/test_calls.c
+++ b/tests/test_calls.c
@@ -27,7 +27,7 @@
 #define WATCH_DEADLINE_S 8.0   /* of a watch: the peer does not answer it */
 #define LOOP_DELAY_MAX_S 0.5   /* by which a busy machine may delay the main loop */
 #define RENEWAL_RESPONSE_S 0.2 /* until the peer answers a lease renewal */
-#define MAX_CONNS 4            /* of a client */
+#define MAX_CONNS 4            /* for each client */
 #define IDLE_CONNS 3
 
 /* --- the peer: one thread for each connection, which runs while the main loop is blocked --- */
@@ -618,6 +618,8 @@
   return G_SOURCE_CONTINUE;
 }
 
+/* Random calls to all kinds of peers, with cancellations and short blocks of the loop: each call
+ * must complete once and in time, and none may be lost. */
 static void
 test_random (void)
 {
--- a/tests/test_clock.c
+++ b/tests/test_clock.c
@@ -1,5 +1,4 @@
-/* Tests the real clock and main loop, which the tests of whole nodes replace with simulated ones.
- */
+/* The real clock and main loop, which the tests of whole nodes replace with simulated ones. */
 #include "clock.h"
 
 static GString *events;
--- a/tests/test_http.c
+++ b/tests/test_http.c
@@ -130,6 +130,7 @@
   g_assert_cmpuint (exchange (s->str, s->len, NULL), ==, 413);
 }
 
+/* Malformed requests are refused, and later clients are served. */
 static void
 test_garbage (void)
 {
--- a/tests/test_liveness.c
+++ b/tests/test_liveness.c
@@ -84,7 +84,7 @@
   with_seeds (list_never_completes);
 }
 
-/* A node that can renew its lease but cannot list the owner keys must lose its shard to another. */
+/* A node that renews its lease but cannot list the owner keys loses its shard to another node. */
 static void
 lists_refused (void)
 {
@@ -298,8 +298,7 @@
   }
 }
 
-/* A node that probes the lost owner crashes before it has decided; another node must carry
- * on. */
+/* A node that probes the lost owner crashes before it has decided; another node must decide. */
 static void
 test_prober_crashes (void)
 {
--- a/tests/test_machine.c
+++ b/tests/test_machine.c
@@ -100,6 +100,7 @@
   kr_machine_free (machine);
 }
 
+/* A task that is reported as exited twice is one new attempt with one exit. */
 static void
 test_exit_reported_once (void)
 {
--- a/tests/test_rebalance.c
+++ b/tests/test_rebalance.c
@@ -87,7 +87,7 @@
     rebalance_and_apply (&fleet, targets);
     rebalance_and_apply (&fleet, targets);
     g_assert_cmpuint (rebalance_and_apply (&fleet, targets), ==, 0);
-    /* Each shard is less than a machine off its target, but others may keep their last machine. */
+    /* Each shard is less than a machine off its target, unless others keep their last machine. */
     double cpus[SHARDS];
     kr_rebalance_count_cpus (fleet.supplies, SHARDS, cpus);
     for (guint shard = 0; shard < SHARDS; shard++) {
