--- a/tests/test_combined_faults.c
+++ b/tests/test_combined_faults.c
@@ -1,6 +1,6 @@
 /* Combinations of faults: whole nodes in simulated time. Each test brings about several faults at
  * once, and the rule checker of the simulated cluster checks every rule of the protocol throughout.
- * docs/incidents/meetings.md lists the combinations. */
+ * docs/incidents/combined-faults.md lists the combinations. */
 #include "fixture.h"
 #include <string.h>
 
--- a/tests/test_races.c
+++ b/tests/test_races.c
@@ -1,7 +1,7 @@
 /* Messages that arrive late, twice, without a response or at the worst moment, in simulated time:
  * commands, reports, responses, polls and cancellations around takeovers. The rule checker of the
- * simulated cluster checks every rule of the protocol throughout. docs/incidents/meetings.md lists
- * these cases together with those of test_combined_faults.c. */
+ * simulated cluster checks every rule of the protocol throughout. docs/incidents/combined-faults.md
+ * lists these cases together with those of test_combined_faults.c. */
 #include "fixture.h"
 
 /* Four one-task jobs a second are submitted for two minutes, and about a quarter of them are
--- a/tests/test_takeover.c
+++ b/tests/test_takeover.c
@@ -3,7 +3,7 @@
  *
  * The failure: the shard stayed closed for as long as the cloud was out. No task started in it, and
  * every poll of a cancelled job got 503 (after 75 s of that, the checker reports `forgotten`). In
- * the test of a cloud outage at a handover (test_meetings.c), the takeover began at 41.4 s and the
+ * /combined-faults/cloud-outage-at-takeover, the takeover began at 41.4 s and the
  * shard opened only once the cloud was back at 103 s. In bench/mutes.toml with seed 1, shard 1 was
  * closed from 133 to 222 s because of seven machines that had been silent since 102 s.
  *
