--- a/tests/sim.c
+++ b/tests/sim.c
@@ -445,8 +445,8 @@
 
 void
 kr_http_client_call (KrHttpClient *client, const char *method, const char *host, const char *path,
-                     json_t *body, guint timeout_ms, GCancellable *cancel, KrHttpResponseFunc reply,
-                     gpointer data)
+                     json_t *body, guint timeout_ms, GCancellable *cancel,
+                     KrHttpResponseFunc callback, gpointer data)
 {
   g_autofree char *from = g_strdup_printf ("n%d", sim.current_node);
   if (sim.drop_range_reads[sim.current_node] && g_str_has_prefix (path, "/store?")) {
