--- a/src/shard.c
+++ b/src/shard.c
@@ -122,7 +122,7 @@
       fault_score += 1 + (other_job->timed_count > 0);
   }
   if (fault_score >= KR_FAULTY_MACHINE_JOBS && !machine->drain) {
-    kr_info ("machine %s: several jobs fail only on this machine; draining it", machine->id);
+    kr_info ("machine %s: tasks fail only on this machine; draining it", machine->id);
     machine->drain = TRUE;
   }
 }
@@ -237,6 +237,7 @@
 }
 
 /* --- orders -------------------------------------------------------------------------- */
+/* Returns the seconds that a killed task gets to save a checkpoint. */
 static double
 grace_s (KrShard *shard, const KrAttempt *attempt)
 {
@@ -472,7 +473,7 @@
     } else if ((machine->listed || (machine->used && !machine->last_report_at) ||
                 unlisted_and_silent (machine, now, lag)) &&
                !machine->missing_since)
-      machine->missing_since = now; /* A machine in use was up before, and therefore listed. */
+      machine->missing_since = now; /* A used machine was up before, and therefore listed. */
     else if (!machine->listed && !machine->last_report_at &&
              now - machine->joined_at > kr_seconds_to_us (KR_UNLISTED_MACHINE_S + 4 * lag))
       kr_shard_delete_machine (shard, machine, "never listed"); /* added from a stale list */
@@ -508,7 +509,8 @@
   renew_lease (machine, request, orders, now);
 }
 
-/* Refuses the held report of a machine that left this shard or has sent a newer report. */
+/* Refuses the machine's held report, if there is one: this node must not or cannot answer it any
+ * more, or the worker has sent a newer report. */
 static void
 refuse_held_report (KrShard *shard, KrMachine *machine)
 {
@@ -561,8 +563,8 @@
   KrMachine *machine = kr_shard_machine (shard, report->machine);
   gint64 now = kr_now ();
 
-  /* The takeover has given this machine up because no call reaches it: its reports must not keep
-   * its lease alive for ever. */
+  /* The takeover has given this machine up, since neither responses nor commands reach it. If its
+   * reports were answered, its lease would count as renewed for ever. */
   gboolean abandoned =
       machine && machine->drain && kr_shard_needs_fence (machine) && report->token < shard->token;
   if (!machine || machine->deleting || abandoned) {
@@ -571,9 +573,9 @@
     return;
   }
   if (report->token > shard->token) {
-    /* An owner with a newer token has commanded the machine. If this node still holds the
-     * key, that owner is gone or the machine came from another shard: this node needs a newer token
-     * and must not send orders now. */
+    /* An owner with a newer token has commanded the machine. If this node still holds the key, that
+     * owner is gone or the machine came from another shard: this node needs a newer token and must
+     * not send orders now. */
     kr_membership_renew_token (shard->node->membership, shard->index);
     const KrHolder *holder = kr_membership_holder (shard->node->membership, shard->index);
     gboolean other = holder->node && !kr_membership_owns (shard->node->membership, shard->index);
@@ -618,16 +620,18 @@
   double reserved, moving, unusable, available; /* free CPUs */
 } Status;
 
+/* Returns the counter of `status` for the CPUs that the attempt uses. */
 static double *
-status_in_use (Status *status, const KrAttempt *attempt)
+used_cpus_counter (Status *status, const KrAttempt *attempt)
 {
   if (attempt->state == KR_TASK_UNCONFIRMED)
     return &status->unconfirmed;
   return attempt->state == KR_TASK_PULLING ? &status->pulling : &status->running;
 }
 
+/* Returns the counter of `status` for the machine's free CPUs. */
 static double *
-status_free (Status *status, KrShard *shard, const KrMachine *machine, gint64 now)
+free_cpus_counter (Status *status, KrShard *shard, const KrMachine *machine, gint64 now)
 {
   if (!kr_shard_usable (shard, machine, now))
     return &status->unusable;
@@ -637,7 +641,7 @@
 }
 
 static void
-status_add (Status *status, KrShard *shard, const KrMachine *machine, gint64 now)
+status_add_machine (Status *status, KrShard *shard, const KrMachine *machine, gint64 now)
 {
   const KrMachineType *type =
       machine->type ? kr_node_machine_type (shard->node, machine->type) : NULL;
@@ -653,9 +657,9 @@
     if (!job || attempt->state == KR_TASK_EXITED)
       continue;
     left -= job->spec->cpus;
-    *status_in_use (status, attempt) += job->spec->cpus;
+    *used_cpus_counter (status, attempt) += job->spec->cpus;
   }
-  *status_free (status, shard, machine, now) += left;
+  *free_cpus_counter (status, shard, machine, now) += left;
 }
 
 static void
@@ -668,7 +672,7 @@
 
   g_hash_table_iter_init (&it, shard->machines);
   while (kr_shard_next_machine (shard, &it, &machine))
-    status_add (&status, shard, machine, now);
+    status_add_machine (&status, shard, machine, now);
   for (guint i = 0; i < shard->live_jobs->len; i++)
     pending += kr_job_unstarted (((KrLiveJob *) shard->live_jobs->pdata[i])->job);
   kr_debug (
@@ -686,7 +690,7 @@
 check_lease (KrShard *shard, KrMachine *machine, gint64 now)
 {
   const KrSettings *settings = shard->node->settings;
-  /* Measured against the last moment at which this node certainly owned the shard: a node without
+  /* Measured against the last moment at which this node certainly owned the shard: a node without a
    * connection to the state service must not consider a machine silent that the new owner has
    * fenced and now answers. */
   gint64 confirmed_at = kr_membership_lease_confirmed_at (shard->node->membership);
@@ -718,7 +722,7 @@
     return;
   if (!kr_shard_needs_fence (machine))
     check_lease (shard, machine, now);
-  else if (shard->phase == SHARD_OPEN) /* The cloud refused the deletion. */
+  else if (shard->phase == SHARD_OPEN) /* The cloud refused its deletion. */
     kr_shard_delete_machine (shard, machine, KR_REASON_LEFT_RECORD);
   if (machine->deleting)
     return;
@@ -843,7 +847,7 @@
 void
 kr_shard_close (KrShard *shard)
 {
-  kr_info ("shard %u: closed", shard->index);
+  kr_info ("shard %u: no longer owned by this node", shard->index);
   shard->closed = TRUE;
   kr_timer_remove (shard->tick_timer);
   kr_timer_remove (shard->held_timer);
