--- a/src/shard.h
+++ b/src/shard.h
@@ -15,7 +15,7 @@
 /* This node has replaced its own key by a newer one, without a gap in ownership. */
 void kr_shard_set_token (KrShard *shard, guint64 token);
 
-/* All jobs below job/ have been listed. `items`: array for kr_wire_key_value_parse. */
+/* All jobs below job/ have been listed. `items`: array of values for kr_wire_key_value_parse(). */
 void kr_shard_jobs_listed (KrShard *shard, json_t *items);
 /* A job's key was written. */
 void kr_shard_job_event (KrShard *shard, const KrKeyValue *item);
@@ -33,8 +33,10 @@
   KR_CANCEL_CONFIRMED,   /* no task of the job starts any more, the running ones are being killed */
   KR_CANCEL_PENDING,     /* a task may still start: its machine has not confirmed or started it */
   KR_CANCEL_NO_SUCH_JOB, /* the job is not known here: not read yet, or ended */
-  KR_CANCEL_NOT_OWNER,   /* the asked node does not own the shard, or the shard is not open */
-  KR_CANCEL_NO_ANSWER    /* set by the asking node: there was no answer */
+  /* The asked node does not own the shard, owns it under a key older than `owner`, or the shard is
+   * not open. */
+  KR_CANCEL_NOT_OWNER,
+  KR_CANCEL_NO_ANSWER /* set by the asking node: there was no answer */
 } KrCancelStatus;
 /* Acts at once on a cancellation, without the state service. The cancellation was committed in the
  * job's revision `revision`, when the shard's owner key had the revision `owner`. */
@@ -43,6 +45,7 @@
 /* The same between nodes. Body: {"Part","Job","Owner","Revision"}; the HTTP status stands for the
  * KrCancelStatus. */
 #define KR_PEER_CANCELLATIONS "/cancellations"
+/* Returns the body, which the caller owns. */
 json_t *kr_cancel_request_new (guint shard, const char *id, guint64 owner, guint64 revision);
 /* Returns the HTTP status of the response. */
 guint kr_cancel_handle_request (KrNode *node, json_t *request);
@@ -58,7 +61,7 @@
  * here. */
 gboolean kr_shard_job_counts (KrShard *shard, const char *id, guint *done, guint *running);
 
-/* Returns the number of puts and deletes still needed to write the ends of jobs. */
+/* Returns the number of puts and deletes that are due for the ends of jobs and not sent yet. */
 guint kr_shard_pending_end_writes (KrShard *shard);
 
 /* Returns the number of machines visited so far by walks over all of them; tests check it. */
