--- a/src/shard-private.h
+++ b/src/shard-private.h
@@ -40,7 +40,7 @@
   GCancellable *cancel;
   GHashTable *jobs;        /* id -> KrLiveJob */
   GPtrArray *live_jobs;    /* the same live jobs, as an array */
-  KrResources *team_usage; /* one entry a team */
+  KrResources *team_usage; /* one entry per team */
   gint64 ranked_at;        /* monotonic us, last full ranking */
   GHashTable *machines;    /* id -> KrMachine */
   /* Job id -> guint64: revision of a job's end that this node wrote or found; kept until the job
@@ -49,7 +49,8 @@
   GPtrArray *held_machines; /* KrMachine whose first report is not answered yet */
   GHashTable *deleted_ids;  /* ids of deleted machines, to be removed from the record */
   guint64 attempt_counter;  /* low bits of the next attempt id, below the token */
-  gint64 acquired_at, last_report_at;
+  gint64 acquired_at;       /* monotonic us */
+  gint64 last_report_at;    /* monotonic us, last report from any machine */
   /* KrFormerOwner: the nodes that may have answered machines; NULL: not known. */
   GPtrArray *former_owners;
   gboolean only_this_node; /* all former owners are earlier processes of this node */
@@ -58,20 +59,22 @@
   gboolean record_write_in_flight, flush_in_flight;
   gint64 next_summary_at;      /* monotonic us, earliest time to store the next summary */
   gint64 next_record_write_at; /* monotonic us, earliest time of the next record write */
-  json_t *owner_history_write; /* the value being written; NULL: no write in flight */
-  gboolean deletions_refused;  /* the cloud refused the last deletion */
+  /* The owner history that the takeover is writing; NULL: no such write is in flight. */
+  json_t *owner_history_write;
+  gboolean deletions_refused; /* the cloud refused the last deletion */
   guint tick_timer, fence_timer, preempt_timer;
   guint tick_count; /* number of ticks so far */
   guint held_timer;
-  /* Machines visited by walks over all of them. No event may require such a walk. */
+  /* Number of machines visited by walks over all of them. No event may require such a walk. */
   guint64 machine_visits;
   guint fence_calls;       /* calls to fence machines in flight */
   guint overtaken_reports; /* number of reports overtaken by the answer to a command */
-  gint64 listed_at;        /* monotonic us, last machine list */
+  gint64 listed_at;        /* monotonic us, when the last machine list was read; 0: none yet */
 };
 
 KrShard *kr_shard_ref (KrShard *shard);
 void kr_shard_unref (KrShard *shard);
+/* Return the job or machine with that id, or NULL if the shard does not have it. */
 KrJob *kr_shard_job (KrShard *shard, const char *id);
 KrMachine *kr_shard_machine (KrShard *shard, const char *id);
 /* Like g_hash_table_iter_next() over the machines; counts the steps. */
@@ -79,14 +82,15 @@
 /* A KrAttemptEventFunc: applies an event to the machine and the job of the attempt. */
 void kr_shard_on_attempt_event (KrMachine *machine, KrAttempt *attempt, KrAttemptEvent event,
                                 gpointer data);
-/* Counts an unfinished attempt for its job, if the job is known. Its task is killed if it must not
- * run. */
+/* Counts an unfinished attempt for its job, if the job is known. Marks the attempt to be killed if
+ * its task must not run. */
 void kr_shard_add_attempt (KrShard *shard, KrAttempt *attempt);
 /* Sends the kills due on the machine in a direct command, or after the command in flight. */
 void kr_shard_command_kills (KrShard *shard, KrMachine *machine);
 /* Removes the machine's attempts for the given reason and refuses its held report. Must be called
  * before the machine is removed from `machines`. */
 void kr_shard_remove_machine (KrShard *shard, KrMachine *machine, KrGoneReason reason);
+/* A reason for kr_shard_delete_machine(). */
 #define KR_REASON_LEFT_RECORD "it left the record with tasks"
 /* Asks the cloud to delete the machine; its attempts are gone once the cloud confirms that. The
  * callers repeat this until then, with a pause after each refusal. Returns FALSE during such a
@@ -116,8 +120,8 @@
 /* Returns a transaction that fails if this node no longer holds the shard's owner key. The caller
  * owns it. */
 KrTxn *kr_shard_owner_txn (KrShard *shard);
-/* Returns a transaction that also stores `value` as the owner history and fails if another node has
- * written that meanwhile. */
+/* Returns a transaction that also stores `value` as the owner history and fails if the stored one
+ * has changed since this node last read it. The caller owns it and still owns `value`. */
 KrTxn *kr_shard_owner_history_txn (KrShard *shard, json_t *value);
 /* Writes what is due in the stored record and the owner history. */
 void kr_shard_write_record (KrShard *shard);
@@ -155,10 +159,11 @@
   KR_MACHINE_NOT_FENCED,      /* it may still obey an earlier owner */
   KR_MACHINE_DRAINING,        /* it is faulty, or is being deleted */
   KR_MACHINE_MOVING,          /* it may already belong to another shard */
-  KR_MACHINE_RECLAIM_NOTICED, /* the cloud has announced to reclaim it */
+  KR_MACHINE_RECLAIM_NOTICED, /* the cloud has announced that it will reclaim it */
   KR_MACHINE_BACKING_OFF      /* run orders do not reach it, or tasks fail on it */
 } KrReadiness;
 KrReadiness kr_shard_readiness (KrShard *shard, const KrMachine *machine, gint64 now);
+/* Whether a task may be started on the machine now. */
 gboolean kr_shard_usable (KrShard *shard, const KrMachine *machine, gint64 now);
 /* Adds `run` orders to `orders` for tasks that use the machine's free capacity. */
 void kr_shard_assign_tasks (KrShard *shard, KrMachine *machine, json_t *orders, gint64 now);
