--- a/src/shard-takeover.c
+++ b/src/shard-takeover.c
@@ -23,9 +23,9 @@
   g_free (fence);
 }
 
-/* Returns the machine, or NULL if the machine or the shard is gone meanwhile. */
+/* Returns the machine, or NULL if the machine or the shard has gone meanwhile. */
 static KrMachine *
-fenced_machine (const Fence *fence)
+machine_to_fence (const Fence *fence)
 {
   return fence->shard->closed ? NULL : kr_shard_machine (fence->shard, fence->id);
 }
@@ -33,7 +33,7 @@
 static void
 fence_call_done (Fence *fence, gboolean reached)
 {
-  KrMachine *machine = fenced_machine (fence);
+  KrMachine *machine = machine_to_fence (fence);
   fence->shard->fence_calls--;
   if (machine) {
     machine->fencing = FALSE;
@@ -47,7 +47,7 @@
 on_token_command_response (guint status, KrReport *report, gpointer data)
 {
   Fence *fence = data;
-  KrMachine *machine = fenced_machine (fence);
+  KrMachine *machine = machine_to_fence (fence);
   if (machine && report && (status == 200 || status == 409))
     kr_shard_apply_direct_report (fence->shard, machine, report);
   fence_call_done (fence, report != NULL);
@@ -58,7 +58,7 @@
 {
   Fence *fence = data;
   KrShard *shard = fence->shard;
-  KrMachine *machine = fenced_machine (fence);
+  KrMachine *machine = machine_to_fence (fence);
 
   if (!machine || status != 200 || !report || !g_str_equal (report->machine, fence->id)) {
     fence_call_done (fence, FALSE);
@@ -96,8 +96,8 @@
 }
 
 /* Returns why a used machine that has not been fenced since the takeover is given up, or NULL if it
- * is not yet. The decision counts the calls to it that were sent and not answered, not the progress
- * of the whole takeover. */
+ * is not given up yet. The decision counts the calls to it that were sent and not answered, not the
+ * progress of the whole takeover. */
 static const char *
 give_up_reason (KrShard *shard, const KrMachine *machine, guint unreached, guint used, gint64 now)
 {
@@ -137,9 +137,9 @@
     used += machine->must_fence;
     unreached += kr_shard_needs_fence (machine) && !reports_recently (shard, machine, now);
   }
-  /* Unreachable machines occupy their calls until the timeout: with a quarter of the machines
-   * behind a link that is down, a fixed limit would delay the calls to the last machines by half a
-   * minute. */
+  /* A call to an unreachable machine stays in flight until its timeout: with a quarter of the
+   * machines behind a link that is down, a fixed limit would delay the calls to the last machines
+   * by half a minute. */
   guint max_calls = CLAMP (used / KR_FENCE_PARALLEL_DIVISOR, KR_FENCE_PARALLEL_MIN,
                            kr_node_worker_connections (settings));
   g_hash_table_iter_init (&it, shard->machines);
@@ -148,9 +148,8 @@
     const char *why;
     if (!kr_shard_needs_fence (machine))
       continue;
-    /* All former owners have stopped answering the machine, and neither they nor this node have
-     * renewed its lease for its whole length. It has expired, whether or not the cloud deletes the
-     * machine. */
+    /* For longer than a lease, no former owner has answered the machine and this node has not
+     * either. Its lease has expired, whether or not the cloud deletes the machine. */
     if (shard->former_stopped_at &&
         kr_lease_expired (MAX (shard->former_stopped_at, machine->lease_renewed_at),
                           kr_membership_lease_confirmed_at (shard->node->membership),
