--- a/src/shard-record.c
+++ b/src/shard-record.c
@@ -110,7 +110,7 @@
              : NULL;
 }
 
-/* Brings the stored record in line with the known state: machines in use and their addresses,
+/* Brings the stored record in line with the known state: used machines and their addresses,
  * deletions, and the owner history. */
 void
 kr_shard_write_record (KrShard *shard)
@@ -247,14 +247,14 @@
 }
 
 /* Moves empty machines to another shard, as many as one transaction allows: it changes both shards'
- * records, on condition that this node owns the giving shard. Each call serves one target shard. */
+ * records, on condition that this node owns the source shard. Each call serves one target shard. */
 void
 kr_shard_move_marked (KrShard *shard)
 {
   GHashTableIter it;
   gpointer id, value;
   gint to = -1;
-  /* Each further machine may touch two chunks. */
+  /* A machine may touch two chunks, so a further one is only added while two writes are left. */
   guint writes_max = shard->node->settings->state_txn_ops - 1;
 
   /* Other writes come first: a move is worth little while job submissions wait. */
