--- a/src/shard-progress.c
+++ b/src/shard-progress.c
@@ -21,8 +21,9 @@
   return g_hash_table_contains (shard->ended_jobs, job);
 }
 
+/* Whether the job watch has reached the revision of the job's end. */
 static gboolean
-is_watched_past (gpointer id, gpointer revision, gpointer watch_revision)
+watch_is_past (gpointer id, gpointer revision, gpointer watch_revision)
 {
   return *(guint64 *) revision <= *(guint64 *) watch_revision;
 }
@@ -31,7 +32,7 @@
 kr_shard_prune_ended (KrShard *shard)
 {
   guint64 watch_revision = kr_watch_revision (shard->node->job_watch);
-  g_hash_table_foreach_remove (shard->ended_jobs, is_watched_past, &watch_revision);
+  g_hash_table_foreach_remove (shard->ended_jobs, watch_is_past, &watch_revision);
 }
 
 /* --- progress ------------------------------------------------------------------------ */
@@ -47,9 +48,9 @@
 } Batch;
 
 static void
-written_job_free (gpointer p)
+written_job_free (gpointer data)
 {
-  WrittenJob *written = p;
+  WrittenJob *written = data;
   g_free (written->id);
   g_free (written->bits);
   g_free (written);
@@ -349,8 +350,8 @@
   kr_shard_flush_progress (shard);
 }
 
-/* Whether a machine may still start a task of the job: its run order is unconfirmed, or the worker
- * is still pulling the image. */
+/* Whether a machine may still start a task of the job: its run order was sent and is unconfirmed,
+ * or the worker is still pulling the image. */
 static gboolean
 may_still_start (const KrLiveJob *live_job)
 {
@@ -425,7 +426,7 @@
 }
 
 static gboolean
-preempt_soon (gpointer data)
+on_preempt_timer (gpointer data)
 {
   KrShard *shard = data;
   shard->preempt_timer = 0;
@@ -433,7 +434,7 @@
   return G_SOURCE_REMOVE;
 }
 
-/* Assigns the attempts that machines have reported to the jobs that have been read, and takes in
+/* Assigns the attempts that machines have reported to the jobs that have been read, and applies
  * the outcomes of those that have exited. */
 static void
 match_attempts (KrShard *shard)
@@ -499,7 +500,7 @@
   if (shard->jobs_loaded && is_final (job))
     kr_shard_flush_progress (shard);
   if (shard->jobs_loaded && !shard->preempt_timer) /* for jobs that cannot wait for the next tick */
-    shard->preempt_timer = kr_timer_add (KR_WATCH_INTERVAL_MS, preempt_soon, shard);
+    shard->preempt_timer = kr_timer_add (KR_WATCH_INTERVAL_MS, on_preempt_timer, shard);
 }
 
 void
