--- a/src/shard-dispatch.c
+++ b/src/shard-dispatch.c
@@ -10,6 +10,7 @@
 #include <math.h>
 
 /* --- scheduling ---------------------------------------------------------------------- */
+/* Returns the wall-clock time, in seconds, by which the job should have finished. */
 static double
 finish_goal_at (KrShard *shard, const KrJob *job)
 {
@@ -34,8 +35,8 @@
 }
 
 /* Ends the backoff of a job once one of its attempts has run clearly longer than any that failed.
- * Otherwise a sound job that met two faulty machines would stay held back until its next
- * attempt ends, maybe minutes later. */
+ * Otherwise a sound job that met two faulty machines would be held back until its next attempt
+ * ends, maybe minutes later. */
 static void
 check_recovery (KrLiveJob *live_job, gint64 now)
 {
@@ -46,7 +47,7 @@
       kr_job_clear_failures (job);
 }
 
-/* Whether no task of the job has started for `seconds` since its submission. */
+/* Whether the job was submitted more than `seconds` ago and has no active or completed task. */
 static gboolean
 unstarted_for (const KrLiveJob *live_job, double seconds)
 {
@@ -193,6 +194,7 @@
     shard->ranked_at = now;
 }
 
+/* Stores the capacity of the machine that no attempt uses. Returns FALSE if it is not known. */
 static gboolean
 free_capacity (KrShard *shard, const KrMachine *machine, KrResources *capacity)
 {
@@ -475,7 +477,7 @@
 }
 
 /* Releases the machine's reservation once the job for which it was made has no unstarted tasks, and
- * admits the other jobs to the round again. Returns FALSE if there is no such reservation. */
+ * admits the other jobs to the round again. Returns FALSE if there is nothing to release. */
 static gboolean
 release_reservation (KrShard *shard, KrMachine *machine)
 {
@@ -504,7 +506,7 @@
 }
 
 /* The paper's allocation (max variant), triggered by a machine's report: assigns the machine's free
- * capacity one task at a time to the best-ranked job that fits, and ranks the jobs again after each
+ * capacity one task at a time to the best-ranked job that fits, and updates the ranking after each
  * task. */
 void
 kr_shard_assign_tasks (KrShard *shard, KrMachine *machine, json_t *orders, gint64 now)
@@ -632,6 +634,8 @@
     kr_shard_command_kills (shard, machine);
 }
 
+/* Returns the number of the job's tasks that the whole machine has capacity for: at least 1, or 0
+ * if its type is not known. */
 static guint
 slots_on_machine (KrShard *shard, const KrMachine *machine, const KrLiveJob *live_job)
 {
@@ -673,9 +677,9 @@
 } Candidate;
 
 static void
-candidate_free (gpointer p)
+candidate_free (gpointer data)
 {
-  Candidate *candidate = p;
+  Candidate *candidate = data;
   g_ptr_array_unref (candidate->victims);
   g_free (candidate);
 }
@@ -868,10 +872,10 @@
   return demands;
 }
 
-/* An estimate: a machine that has just joined the shard and not reported may hold any task, for up
- * to one lease. */
+/* Returns the estimated seconds until the machine is empty: one lease for a machine that has not
+ * reported to this shard yet, since it may have any tasks. */
 static double
-drain_time_s (KrShard *shard, const KrMachine *machine, gint64 now)
+estimated_drain_s (KrShard *shard, const KrMachine *machine, gint64 now)
 {
   return machine->has_reported ? time_to_drain_s (shard, machine, now)
                                : shard->node->settings->worker_lease_s;
@@ -889,7 +893,7 @@
 machine_json (KrShard *shard, const KrMachine *machine, gint64 now)
 {
   /* A silent machine does not count as idle: it may be paused and continue later. check_machine
-   * decides how long to wait. */
+   * in shard.c decides how long to wait. */
   gboolean lost = is_silent (shard, machine, now);
   double idle =
       machine->attempts->len || !machine->has_reported || lost || shard->phase != SHARD_OPEN
@@ -897,7 +901,7 @@
           : (double) (now - machine->idle_since) / G_USEC_PER_SEC;
   return json_pack ("{ss ss* sb sb sf sf sb sI}", "Id", machine->id, "Type", machine->type, "Spot",
                     machine->spot, "Up", has_been_up (machine), "Idle", idle, "Rest",
-                    drain_time_s (shard, machine, now), "Going",
+                    estimated_drain_s (shard, machine, now), "Going",
                     machine->drain || machine->deleting || machine->reclaim_at != 0 || lost, "To",
                     (json_int_t) machine->move_to);
 }
