--- a/src/machine.h
+++ b/src/machine.h
@@ -26,8 +26,8 @@
   guint64 attempt_id;
   KrTaskState state;
   KrExitReason exit_reason;
-  /* While unconfirmed: only a heartbeat report with a higher `seq` proves that it did not arrive.
-   */
+  /* While it is unconfirmed, only a heartbeat report with a higher `seq` proves that its `run`
+   * order did not arrive. */
   guint64 sent_after_seq;
   gint64 running_since; /* monotonic us, first report that it runs; 0: none yet */
   gboolean adopted;     /* discovered in a report: its start time is unknown */
@@ -62,7 +62,9 @@
   /* The rest is set by the shard. */
   /* `used` is durable: tasks may have been started there. `use_pending`: to be made durable. */
   gboolean used, use_pending;
-  gboolean drain, deleting, fencing;
+  gboolean drain; /* it gets no new tasks and is deleted once it is empty */
+  /* A call to delete or to fence the machine is in flight. */
+  gboolean deleting, fencing;
   guint fence_failures;       /* unanswered calls to fence it */
   gboolean command_in_flight; /* a direct command is in flight */
   gboolean command_again;     /* more kills became due meanwhile */
@@ -72,7 +74,7 @@
   gint64 delete_after;
   gint move_to;                  /* target shard once it is empty; -1: none */
   gboolean moving;               /* a move may be in flight: nothing may be started */
-  gboolean move_outcome_unknown; /* the move's outcome is unknown */
+  gboolean move_outcome_unknown; /* the move may still be executed later */
   guint64 chunk_revision;        /* of the record chunk that contains the machine */
   gint64 idle_since, joined_at;  /* monotonic us */
   /* The KrRequest of its first report, answered once its use is durable. */
@@ -97,7 +99,7 @@
   KR_ATTEMPT_DISCOVERED, /* a report lists an attempt that was not known */
   /* An unconfirmed attempt is listed for the first time; other events may follow. */
   KR_ATTEMPT_CONFIRMED,
-  /* An attempt never reached the worker. Raised once per report; KR_ATTEMPT_GONE follows. */
+  /* An attempt never reached the worker: at most once per report; KR_ATTEMPT_GONE follows. */
   KR_ATTEMPT_UNDELIVERED,
   KR_ATTEMPT_STARTED, /* the task is running */
   KR_ATTEMPT_EXITED,  /* see attempt->exit_reason */
