--- a/src/machine.c
+++ b/src/machine.c
@@ -120,9 +120,9 @@
 kr_machine_remove_attempts (KrMachine *machine, KrGoneReason reason, KrAttemptEventFunc on_event,
                             gpointer data)
 {
-  /* Also if the lease expired between two reports: a machine that receives no responses and reports
-   * to one node after the other returns to its owner only after that, and would be assigned tasks
-   * each time. */
+  /* This event is also raised if the lease expired between two reports. A machine that receives no
+   * responses reports to one node after the other and returns to its owner only after its lease has
+   * expired. Without the backoff that this event causes, it would be assigned tasks each time. */
   KrAttempt *undelivered = find_unconfirmed (machine);
   if (undelivered)
     on_event (machine, undelivered, KR_ATTEMPT_UNDELIVERED, data);
