--- a/src/owner-history.h
+++ b/src/owner-history.h
@@ -11,7 +11,7 @@
   gboolean all_fenced;
   /* names of further nodes that may have answered a machine; NULL: not known */
   GPtrArray *earlier_owners;
-  guint64 revision;
+  guint64 revision; /* of the stored value; 0: none has been read */
 } KrOwnerHistory;
 
 /* Applies a stored value if it is newer than `history`. A field that is missing (an older version
