--- a/src/machine.h
+++ b/src/machine.h
@@ -47,7 +47,7 @@
 typedef struct KrMachine {
   char *id, *endpoint, *type, *zone;
   gboolean spot, has_reported; /* the machine has reported: type, zone and spot are valid */
-  guint64 session, seq, token;
+  guint64 session, seq, token; /* as in the newest report that was applied */
   /* `seq` of the newest heartbeat report; `seq` may be that of an answer to a command. */
   guint64 report_seq;
   gint64 last_report_at; /* monotonic us, newest report that was applied */
