--- a/src/shard-private.h
+++ b/src/shard-private.h
@@ -17,7 +17,7 @@
   KrShard *shard;
   KrJob *job;
   const KrTeam *team; /* NULL: unknown */
-  KrResources *used;  /* resources used by the team's attempts, until they are certainly gone */
+  KrResources *used;  /* of the team's attempts, until they exit or are certainly gone */
   GPtrArray *attempts;
   /* inputs and result of the ranking functions */
   GArray *elapsed;
@@ -96,7 +96,7 @@
  * callers repeat this until then, with a pause after each refusal. Returns FALSE during such a
  * pause. */
 gboolean kr_shard_delete_machine (KrShard *shard, KrMachine *machine, const char *why);
-/* Answers those first reports that need not be held any longer. */
+/* Answers or refuses the held first reports that need not wait any longer. */
 void kr_shard_answer_held_reports (KrShard *shard);
 /* Applies the report that a worker sent in answer to /show or /commands. */
 void kr_shard_apply_direct_report (KrShard *shard, KrMachine *machine, const KrReport *report);
--- a/src/shard.c
+++ b/src/shard.c
@@ -722,7 +722,7 @@
     return;
   if (!kr_shard_needs_fence (machine))
     check_lease (shard, machine, now);
-  else if (shard->phase == SHARD_OPEN) /* The cloud refused its deletion. */
+  else if (shard->phase == SHARD_OPEN) /* It left the record, and the cloud refused its deletion. */
     kr_shard_delete_machine (shard, machine, KR_REASON_LEFT_RECORD);
   if (machine->deleting)
     return;
--- a/src/shard.h
+++ b/src/shard.h
@@ -11,6 +11,7 @@
 KrShard *kr_shard_new (KrNode *node, guint index, guint64 token);
 /* Stops all work on a shard that this node no longer owns, and drops the reference. */
 void kr_shard_close (KrShard *shard);
+/* Returns the revision of the owner key under which this node holds the shard. */
 guint64 kr_shard_token (KrShard *shard);
 /* This node has replaced its own key by a newer one, without a gap in ownership. */
 void kr_shard_set_token (KrShard *shard, guint64 token);
@@ -31,7 +32,7 @@
 /* An owner's answer to the request to act on a committed cancellation. */
 typedef enum {
   KR_CANCEL_CONFIRMED,   /* no task of the job starts any more, the running ones are being killed */
-  KR_CANCEL_PENDING,     /* a task may still start: its machine has not confirmed or started it */
+  KR_CANCEL_PENDING,     /* a task may still start: unconfirmed, or its image is being pulled */
   KR_CANCEL_NO_SUCH_JOB, /* the job is not known here: not read yet, or ended */
   /* The asked node does not own the shard, owns it under a key older than `owner`, or the shard is
    * not open. */
