--- a/src/shard-private.h
+++ b/src/shard-private.h
@@ -17,7 +17,7 @@
   KrShard *shard;
   KrJob *job;
   const KrTeam *team; /* NULL: unknown */
-  KrResources *used;  /* of the team's attempts, until they exit or are certainly gone */
+  KrResources *used;  /* resources of the team's attempts, until they exit or are certainly gone */
   GPtrArray *attempts;
   /* inputs and result of the ranking functions */
   GArray *elapsed;
