--- a/src/constants.h
+++ b/src/constants.h
@@ -56,10 +56,11 @@
 #define KR_WORKER_SOCKET_SHARE 0.15
 /* Time within which a shard's owner must answer whether it acts on a cancellation. */
 #define KR_CANCEL_CONFIRM_TIMEOUT_MS 1000
-/* Interval between these calls: long enough for one round of a watch, or for part of a report
- * interval to pass. */
+/* Delay before the owner is asked for this confirmation again: long enough for one round of a
+ * watch, or for part of a report interval. */
 #define KR_CANCEL_CONFIRM_RETRY_MS 200
-/* Number of these calls. An unconfirmed attempt is resolved within half a second. */
+/* The owner is asked at most this number of times. An unconfirmed attempt is resolved within half a
+ * second. */
 #define KR_CANCEL_CONFIRM_TRIES 5
 /* Connections to each peer, for one exchange at a time. */
 #define KR_PEER_CONNS 4
@@ -73,8 +74,8 @@
 #define KR_WORKER_CONN_IDLE_S 15
 /* Length of a rate limiter's queue, in seconds' worth of calls. Users wait for about that long. */
 #define KR_LIMITER_QUEUE_S 4.0
-/* Longest time that a call waits in that queue: twice its length, as calls of class high overtake
- * it. */
+/* Longest time that a call to the state service waits for the rate limits: twice the length of the
+ * queue, as calls of class high overtake others. A call of class low waits for its own time-out. */
 #define KR_LIMITER_WAIT_MAX_MS 8000
 /* Least length of that queue, in calls. When the queue is full, calls are refused at once, except
  * those of class high. */
@@ -104,14 +105,15 @@
 #define KR_NODE_LEASE_MS 6000
 /* A process that was stopped for this time may have lost all its keys. */
 #define KR_PROCESS_STALL_MS 6000
-/* A node that could not read the owner keys for this time releases its own. */
+/* A node that could not read the owner keys for this time lets its lease expire, and with it the
+ * keys that it holds. */
 #define KR_OWNERS_UNREAD_MAX_S 15.0
 /* The state service counts as failing for this time after a failed call. */
 #define KR_STATE_FAILING_S 10.0
 /* Interval between checks of a probe in progress. */
 #define KR_PROBE_CHECK_MS 500
-/* Number of successful reads of a peer's presence without an answer to the probe, before the peer
- * counts as gone. */
+/* A peer counts as dead only after at least this number of successful reads of its presence without
+ * an answer to the probe. */
 #define KR_PROBE_READS 4
 /* Interval between probes of the same peer. */
 #define KR_PROBE_INTERVAL_MS 10000
@@ -188,10 +190,10 @@
 #define KR_HAND_BACK_MAX_LEASES 2.0
 /* Interval between takeover requests to the same former owner of a shard. */
 #define KR_TAKEOVER_ASK_INTERVAL_MS 1000
-/* An owner hands a shard over when none of its machines has reported for two report intervals and
- * this time. */
+/* An owner releases a shard when none of the shard's machines has reported for two report intervals
+ * and this time. */
 #define KR_SHARD_SILENCE_S 3.0
-/* After that the node does not acquire the shard for this time. */
+/* A node that released a shard for this reason does not acquire it again for this time. */
 #define KR_SHARD_SILENCE_HOLD_OFF_MS 30000
 /* In a takeover, a used machine that was not reached within this time is deleted. */
 #define KR_FENCE_GRACE_S 6.0
@@ -245,7 +247,8 @@
 #define KR_FAILED_MACHINE_AVOID_S 30.0
 /* A job that has failed on this number of machines is subject to the backoff. */
 #define KR_JOB_BACKOFF_MACHINES 2
-/* A machine counts as faulty when this number of jobs have failed on it and on no other machine. */
+/* A machine counts as faulty when this number of jobs have failed on it and on no other machine. A
+ * job that has completed tasks counts twice. */
 #define KR_FAULTY_MACHINE_JOBS 2
 /* Longest time that a machine's first report waits for the machine record to be written. Workers
  * wait for an answer for 4 s. */
@@ -256,10 +259,10 @@
 #define KR_RANKING_CACHE_MS 100
 /* Start goal of a job without an objective for it. */
 #define KR_DEFAULT_START_GOAL_S 60.0
-/* A job without a running or completed task for this time goes first. */
+/* A job goes first if this time after its submission none of its tasks runs or has completed. */
 #define KR_STARVATION_S 120.0
-/* The shard of a job without a running or completed task for this time gets a machine. The machine
- * may have to be drained first. */
+/* If this time after a job's submission none of its tasks runs or has completed, its shard gets a
+ * machine. The machine may have to be drained first. */
 #define KR_STARVATION_MACHINE_S 60.0
 /* The first task of a job that has waited for KR_STARVATION_S is not preempted for this time. */
 #define KR_FIRST_TASK_PROTECT_S 30.0
@@ -279,7 +282,8 @@
 /* A machine whose tasks take this multiple of the job's mean is drained. Machines of one type
  * differ by a tenth. */
 #define KR_SLOWDOWN_LIMIT 2.5
-/* Time that an urgent job waits before it may preempt other tasks. */
+/* Longest time that a job waits before it may preempt tasks of lower priority, or of teams that
+ * exceed their guarantee. */
 #define KR_PREEMPT_WAIT_S 1.0
 /* Time for which the resources freed by a preemption stay reserved. */
 #define KR_PREEMPT_RESERVE_S 8.0
@@ -315,7 +319,7 @@
 #define KR_LEADER_ROUND_MS 1000
 /* Interval of the provisioner's timer, and of a new leader's first rounds. */
 #define KR_LEADER_CHECK_MS 100
-/* Time that a round waits for the slowest owner. */
+/* Longest time that a round waits for the answers of all nodes. */
 #define KR_LEADER_ANSWERS_MS 300
 /* Time that a new leader waits for owners that do not answer. */
 #define KR_NEW_LEADER_WAIT_S 1.5
@@ -326,7 +330,7 @@
 #define KR_LEADER_SILENCE_S 4.0
 /* The leader ignores a stored summary that is older than this. */
 #define KR_STORED_SUMMARY_MAX_AGE_S 10.0
-/* Interval between these writes. */
+/* Minimum interval between two stored summaries of the same shard. */
 #define KR_STORED_SUMMARY_INTERVAL_MS 2000
 /* Size of one demand in JSON, with room to spare. */
 #define KR_DEMAND_BYTES 256
