--- a/src/allocation.h
+++ b/src/allocation.h
@@ -33,8 +33,9 @@
 /* Frees a KrSupply; a GDestroyNotify. */
 void kr_supply_free (gpointer data);
 
-/* Returns the CPUs of the machines that `slots` slots of the demand occupy, on the first of `types`
- * that fits; 0 if none fits. A slot occupies the same share of the CPUs as of the machine. */
+/* Returns the CPUs that `slots` slots of the demand occupy: for each slot, its share of a machine
+ * (see kr_placement_machine_share()) of the first of `types` that fits, times the CPUs of that
+ * type. Returns 0 if no type fits. */
 double kr_demand_cpus (const KrDemand *demand, double slots, const GPtrArray *types);
 /* Divides `supply` CPUs among the shards by max-min fairness: small demands are met in full, and
  * the other shards get equal shares of the rest. CPUs beyond the total demand stay undivided.
