--- a/src/rebalance.c
+++ b/src/rebalance.c
@@ -9,7 +9,9 @@
   const KrRebalanceInput *in;
   GPtrArray *supplies;
   gint *chosen;   /* for each machine, the shard that it moves to; -1: it stays */
-  gboolean up;    /* only machines that are up are considered, else only booting ones */
+  /* TRUE: only machines that are up are counted and moved. FALSE: all machines are counted, and only
+   * booting ones are moved. */
+  gboolean up;
   double *have;   /* CPUs of each shard after the moves chosen so far */
   guint *leaving; /* number of machines that leave each shard */
   guint *count;   /* number of machines in each shard */
@@ -22,6 +24,7 @@
   return !machine->up || machine->idle_s >= 0;
 }
 
+/* Whether the machine counts as supply of the shard that it is assigned to. */
 static gboolean
 is_counted (const KrSupply *machine)
 {
@@ -77,6 +80,7 @@
   return round->have[to] <= 0 && round->in->targets[to] > 0 && (round->up || one_of_several);
 }
 
+/* Whether the machine is the only one of a shard that has demand. */
 static gboolean
 is_last_needed (const Round *round, const KrSupply *machine)
 {
