--- a/src/job.h
+++ b/src/job.h
@@ -1,6 +1,8 @@
 /* Jobs and their stored form. A live job is stored under one key below job/, with its
- * specification, the sum of its run times and a bitmap of its completed tasks; an ended job is
- * stored below end/. A bitmap too large for one value continues in chunks below done/. */
+ * specification, the sum and the number of its measured task run times and a bitmap of its
+ * completed tasks; an ended job is stored below end/. A bitmap too large for one value continues in
+ * chunks below done/. Functions that return a json_t return a new reference, which the caller
+ * releases with json_decref(). */
 #pragma once
 #include "settings.h"
 #include "wire.h"
@@ -62,14 +64,16 @@
 char *kr_job_chunk_key (const char *id, guint chunk);
 /* Returns the number of chunks of the bitmap. Chunk 0 is stored under the job's own key. */
 guint kr_job_chunk_count (const KrJob *job);
+/* Returns the bits of a chunk of the bitmap `done` as base64 text. */
 json_t *kr_job_chunk_encode (const KrJob *job, const guint8 *done, guint chunk);
-/* Adds the bits of a stored chunk to the bitmaps `done` and `persisted`. Ignores anything but text.
- */
+/* Adds the bits of a stored chunk to the bitmaps `done` and `persisted`. Does nothing if `base64`
+ * is not a string. */
 void kr_job_chunk_merge (KrJob *job, guint chunk, json_t *base64);
 
 gboolean kr_job_is_done (const KrJob *job, guint task);
 gboolean kr_job_is_persisted (const KrJob *job, guint task);
 void kr_job_set_done (KrJob *job, guint task);
+/* Adds or removes one attempt of the task that may be on a machine. */
 void kr_job_add_active (KrJob *job, guint task);
 void kr_job_remove_active (KrJob *job, guint task);
 /* Returns the number of tasks that are neither completed nor possibly on a machine. */
