--- a/src/budget.c
+++ b/src/budget.c
@@ -1,7 +1,8 @@
 #include "budget.h"
 #include "constants.h"
 
-/* Returns the write rate that a node keeps of its base share. */
+/* Returns the write rate that a node keeps of its base share: as much as it needs to write its
+ * backlog within one second, but not less than KR_BUDGET_KEEP_SHARE of the base share. */
 static double
 kept_rate (double base, double backlog)
 {
