--- a/src/cloud-client.c
+++ b/src/cloud-client.c
@@ -108,8 +108,8 @@
 }
 
 /* --- deletions ----------------------------------------------------------------------- */
-/* A requested deletion. A call that waits for the rate limiter includes all those requested until
- * it is sent. */
+/* A requested deletion. A call that waits for the rate limiter includes all deletions that are
+ * requested until it is sent, at most KR_DELETE_BATCH_MAX. */
 typedef struct {
   char *id;
   GCancellable *cancel;
