--- a/src/provisioner.c
+++ b/src/provisioner.c
@@ -55,7 +55,7 @@
   guint polls_pending; /* summary requests of this round without a successful response */
   double *backlogs;    /* queued writes of each node, this node first; negative: unknown */
   /* Since this node became the leader, one round received all summaries or the wait timed out. */
-  gboolean warmed_up;
+  gboolean initial_wait_over;
   gint64 last_polled_at; /* monotonic us at which a leader last asked for this node's summaries */
   guint64 newest_leader_token; /* the highest fencing token of a leader seen so far */
   guint timer;
@@ -151,8 +151,9 @@
 
 /* --- summaries and directives -------------------------------------------------------- */
 /* Stores a summary sent by `node` if that node owns the shard. Summaries of former owners are
- * ignored: a node that has lost contact with the state service only keeps sending summaries of
- * shards that others have taken over, in which their machines fall silent one after the other. */
+ * ignored: a node that reaches its peers but not the state service keeps sending summaries of
+ * shards that other nodes have taken over. In these summaries, the machines stop reporting one
+ * after the other. */
 static void
 store_summary (KrProvisioner *provisioner, json_t *summary, const char *node)
 {
@@ -477,8 +478,8 @@
   return NULL;
 }
 
-/* Returns the shard with the largest deficit of CPUs. A shard that lacks at least the whole machine
- * and whose owner is in the machine's zone is preferred. */
+/* Returns the shard with the largest deficit of CPUs. A shard that lacks at least as many CPUs as
+ * the machine has, and whose owner is in the machine's zone, is preferred. */
 static guint
 shard_for_machine (KrProvisioner *provisioner, const KrListedMachine *listed, double cpus,
                    const double *deficit)
@@ -497,7 +498,8 @@
   return best;
 }
 
-/* Assigns the machines to the shards with a deficit, in one transaction. */
+/* Assigns the machines, each to the shard with the largest remaining deficit, in one transaction.
+ * Machines for which the transaction has no room remain unassigned until the next round. */
 static void
 assign_machines (KrProvisioner *provisioner, GPtrArray *machines, double *deficit)
 {
@@ -560,20 +562,20 @@
   KrProvisioner *provisioner = pool->provisioner;
   gint64 now = kr_now ();
   g_auto (GStrv) ids = status == 200 ? kr_wire_rental_machines (body) : NULL;
-  guint n = ids ? g_strv_length (ids) : 0;
+  guint rented_count = ids ? g_strv_length (ids) : 0;
 
   pool->request_in_flight = FALSE;
   if (status != 200 && status != 503 && status != 400)
     return; /* unknown outcome: the same request is retried in the next round */
-  for (guint i = 0; i < n; i++)
+  for (guint i = 0; i < rented_count; i++)
     if (!kr_machine_records_find (provisioner->node->machine_records, ids[i])) {
       KrListedMachine *listed = listed_machine_new (ids[i], pool->type, pool->zone, pool->spot);
       g_hash_table_insert (provisioner->unlisted, listed->id, listed);
     }
-  kr_info ("provisioner: rented %u of %u %s %s machines in %s%s%s", n, pool->requested,
-           pool->spot ? "spot" : "on-demand", pool->type, pool->zone, n ? ", first " : "",
-           n ? ids[0] : "");
-  if (n < pool->requested) {
+  kr_info ("provisioner: rented %u of %u %s %s machines in %s%s%s", rented_count, pool->requested,
+           pool->spot ? "spot" : "on-demand", pool->type, pool->zone,
+           rented_count ? ", first " : "", rented_count ? ids[0] : "");
+  if (rented_count < pool->requested) {
     pool->backoff_until = now + (gint64) (pool->backoff_ms * 1000);
     pool->backoff_ms = MIN (pool->backoff_ms * 2, KR_POOL_BACKOFF_MAX_MS);
   } else
@@ -628,7 +630,8 @@
   }
 }
 
-/* Returns all rentable combinations of a type with spot or on-demand, cheapest first. */
+/* Returns all rentable combinations of a type with spot or on-demand, those with the lowest
+ * price per CPU first. */
 static GArray *
 offers_by_price (const GPtrArray *types)
 {
@@ -684,7 +687,7 @@
 }
 
 /* Rents machines for the unmet demand from one pool. The demand is divided evenly among the `pools`
- * open pools that remain, this one included. */
+ * open pools that remain, this one included; demand for a certain zone is not divided. */
 static void
 rent_from_pool (KrProvisioner *provisioner, const Offer *offer, Pool *pool, guint pools,
                 GPtrArray *demands, gboolean spot_open)
@@ -708,7 +711,7 @@
 }
 
 /* Rents machines for demand that no existing or ordered machine can serve, from the cheapest open
- * pools first, with one request per type and zone. */
+ * pools first, with one request per pool. */
 static void
 rent_unmet (KrProvisioner *provisioner, GPtrArray *demands, gint64 now)
 {
@@ -791,7 +794,8 @@
 }
 
 static void
-collect (KrProvisioner *provisioner, GPtrArray *demands, GPtrArray *supplies, gint64 now)
+collect_demands_and_supplies (KrProvisioner *provisioner, GPtrArray *demands, GPtrArray *supplies,
+                              gint64 now)
 {
   g_autoptr (GHashTable) machines = g_hash_table_new (g_str_hash, g_str_equal);
   json_t *entry;
@@ -844,16 +848,16 @@
 }
 
 /* A new leader must not rent machines that exist already. It first needs the summaries of all
- * shards (those that do not answer are waited for during KR_NEW_LEADER_WAIT_S), the machine types,
+ * shards (it waits at most KR_NEW_LEADER_WAIT_S for nodes that do not answer), the machine types,
  * one machine list and the relisted records. */
 static gboolean
 is_ready (KrProvisioner *provisioner, gint64 now)
 {
-  provisioner->warmed_up |=
+  provisioner->initial_wait_over |=
       provisioner->polls_pending == 0 ||
       now - provisioner->leading_since > kr_seconds_to_us (KR_NEW_LEADER_WAIT_S);
-  return provisioner->warmed_up && provisioner->node->machine_types && provisioner->has_list &&
-         provisioner->records_relisted;
+  return provisioner->initial_wait_over && provisioner->node->machine_types &&
+         provisioner->has_list && provisioner->records_relisted;
 }
 
 /* Returns idle machines that no task could use, even if all unstarted tasks ran now. */
@@ -888,7 +892,7 @@
     allot_write_rates (provisioner);
   if (!is_ready (provisioner, now))
     return;
-  collect (provisioner, demands, supplies, now);
+  collect_demands_and_supplies (provisioner, demands, supplies, now);
   g_autoptr (GPtrArray) unassigned = unassigned_machines (provisioner, now);
   for (guint i = 0; i < unassigned->len; i++) {
     const KrListedMachine *listed = unassigned->pdata[i];
@@ -988,7 +992,7 @@
   }
   if (!leads) {
     provisioner->leading_since = provisioner->reconcile_at = provisioner->rent_due_at = 0;
-    provisioner->warmed_up = FALSE;
+    provisioner->initial_wait_over = FALSE;
     return G_SOURCE_CONTINUE;
   }
   if (!provisioner->leading_since) {
--- a/src/provisioner.h
+++ b/src/provisioner.h
@@ -18,7 +18,8 @@
 /* This node received a report from a machine that is in no shard's record. */
 void kr_provisioner_unassigned_reported (KrProvisioner *provisioner, const KrReport *report);
 /* Processes a summary that a shard's owner stored in the state service because no leader had asked
- * for it. Only the leader uses it, and only if the owner has sent none directly for a while. */
+ * for it. Only the leader uses it, and only if it is not older than KR_STORED_SUMMARY_MAX_AGE_S and
+ * the leader has received no other summary of the shard for KR_LEADER_SILENCE_S. */
 void kr_provisioner_note_summary (KrProvisioner *provisioner, guint shard, json_t *summary);
 /* Returns the time (monotonic us) at which a leader last asked this node for its summaries, or at
  * which the provisioner was created. */
