--- a/src/constants.h
+++ b/src/constants.h
@@ -270,8 +270,8 @@
 #define KR_UNDELIVERED_BACKOFF_S 2.0
 /* Longest such backoff: the machine may receive orders again, and tasks wait. */
 #define KR_UNDELIVERED_BACKOFF_MAX_S 60.0
-/* Each further backoff is 2^this times as long. A worker whose responses are lost tries again every
- * dozen seconds. */
+/* Each further backoff is 2^this times as long. A worker whose responses are lost reports to one
+ * node after the other and comes back to its owner only every dozen seconds. */
 #define KR_UNDELIVERED_BACKOFF_SHIFT 3
 /* Number of times that this backoff grows. */
 #define KR_UNDELIVERED_BACKOFF_STEPS 2
