--- a/src/rebalance.c
+++ b/src/rebalance.c
@@ -8,9 +8,9 @@
 typedef struct {
   const KrRebalanceInput *in;
   GPtrArray *supplies;
-  gint *chosen;   /* for each machine, the shard that it moves to; -1: it stays */
-  /* TRUE: only machines that are up are counted and moved. FALSE: all machines are counted, and only
-   * booting ones are moved. */
+  gint *chosen; /* for each machine, the shard that it moves to; -1: it stays */
+  /* TRUE: only machines that are up are counted and moved. FALSE: all machines are counted, and
+   * only booting ones are moved. */
   gboolean up;
   double *have;   /* CPUs of each shard after the moves chosen so far */
   guint *leaving; /* number of machines that leave each shard */
