--- a/src/constants.h
+++ b/src/constants.h
@@ -357,7 +357,8 @@
 #define KR_DELETE_BATCH_DELAY_MS 20
 /* Burst of calls that the cloud accepts at once, in seconds' worth of calls, by the protocol. */
 #define KR_CLOUD_BURST_S 2
-/* A machine that has not reported for this number of report intervals does not count as supply. */
+/* A machine that has not reported for this number of report intervals does not count as supply, nor
+ * as a reporting machine in a takeover. */
 #define KR_SILENT_REPORT_PERIODS 3.0
 /* First backoff of a pool in which the cloud refused a rental. */
 #define KR_POOL_BACKOFF_MS 15000
