--- a/src/allocation.c
+++ b/src/allocation.c
@@ -29,7 +29,7 @@
 }
 
 static void
-serve (KrSupply *supply, KrDemand *demand)
+serve_demand (KrSupply *supply, KrDemand *demand)
 {
   if (supply->unused <= 1e-9 || demand->unmet_slots <= 1e-9 || supply->unavailable ||
       !supply->type ||
@@ -59,7 +59,7 @@
         KrSupply *supply = supplies->pdata[i];
         KrDemand *demand = demands->pdata[k];
         if (!own_only || supply->shard == (gint) demand->shard)
-          serve (supply, demand);
+          serve_demand (supply, demand);
       }
 }
 
