--- a/tests/test_service.c
+++ b/tests/test_service.c
@@ -3,7 +3,6 @@
 #include "fixture.h"
 #include <string.h>
 
-/* No faults. */
 static void
 test_no_faults (void)
 {
@@ -26,7 +25,7 @@
   g_assert_cmpuint (sim_machine_count (), ==, 30);
   for (guint i = 0; i < 15; i++)
     sim_machine_kill (sim_busiest_machine ());
-  sim_run (25); /* the interval between two machine lists, twice the list's lag, and a margin */
+  sim_run (25); /* the interval between two machine lists, twice the lists' lag, and a margin */
   g_assert_cmpuint (sim_machine_count (), >=, 28);
   finish_and_check (900);
 }
@@ -221,7 +220,7 @@
   finish_and_check (400);
 }
 
-/* The nodes crash one after the other, each back after 0.2 s. */
+/* The nodes crash one after the other, and each of them restarts after 0.2 s. */
 static void
 test_restart_at_once (void)
 {
@@ -237,7 +236,7 @@
   finish_and_check (300);
 }
 
-/* All nodes crash at once and are back 20 s later, after their keys have expired. */
+/* All nodes crash at once and restart 20 s later, after their keys have expired. */
 static void
 test_all_crash (void)
 {
@@ -350,12 +349,12 @@
 static guint
 reported_cancelled_count (void)
 {
-  guint n = 0;
+  guint count = 0;
   for (guint i = 1; i <= 3; i++) {
     g_autofree char *id = g_strdup_printf ("wk-00000%u", i);
-    n += g_str_equal (sim_reported_state (id), "cancelled");
+    count += g_str_equal (sim_reported_state (id), "cancelled");
   }
-  return n;
+  return count;
 }
 
 static void
@@ -522,7 +521,7 @@
   finish_and_check (60);
 }
 
-/* When the kill arrives, the machine is paused (fault 0), opens no connections (1) or receives
+/* When the kill arrives, the machine is paused (fault 0), sends no reports (1) or receives
  * nothing (2), for less or for more than its lease. Its tasks must end in time, and tasks that
  * still wait for their image must not start once their user was told of the cancellation. */
 static void
@@ -775,7 +774,7 @@
   finish_and_check (300);
 }
 
-/* Duplicates of reports arrive late, up to several leases after the original, also after restarts
+/* Duplicates of reports arrive up to a minute (five leases) after the original, also after restarts
  * and at nodes that no longer own the shard. */
 static void
 test_late_duplicate_reports (void)
@@ -1026,16 +1025,17 @@
   start_cluster (&default_options);
   submit_jobs (60, 8);
   for (guint i = 0; i < 25; i++) {
-    guint n = (guint) g_rand_int_range (rng, 0, 3);
-    char node[] = { 'n', (char) ('0' + n), 0 }, other[] = { 'n', (char) ('0' + (n + 1) % 3), 0 };
+    guint node_index = (guint) g_rand_int_range (rng, 0, 3);
+    char node[] = { 'n', (char) ('0' + node_index), 0 },
+         other[] = { 'n', (char) ('0' + (node_index + 1) % 3), 0 };
     const char *machine = sim_busiest_machine ();
     g_autofree char *id = g_strdup (machine ? machine : "host-000000");
     SimLinkState link_state = g_rand_boolean (rng) ? SIM_LINK_HOLD : SIM_LINK_DROP;
     switch (g_rand_int_range (rng, 0, 6)) {
     case 0:
-      sim_node_kill (n);
+      sim_node_kill (node_index);
       sim_run (g_rand_double_range (rng, 0.1, 6));
-      sim_node_start (n);
+      sim_node_start (node_index);
       break;
     case 1:
       sim_set_link_both (node, "state", link_state);
