--- a/tests/test_takeover.c
+++ b/tests/test_takeover.c
@@ -3,9 +3,9 @@
  *
  * The failure: the shard stayed closed for as long as the cloud was out. No task started in it, and
  * every poll of a cancelled job got 503 (after 75 s of that, the checker reports `forgotten`). In
- * /combined-faults/cloud-outage-at-takeover, the takeover began at 41.4 s and the
- * shard opened only once the cloud was back at 103 s. In bench/mutes.toml with seed 1, shard 1 was
- * closed from 133 to 222 s because of seven machines that had been silent since 102 s.
+ * /combined-faults/cloud-outage-at-takeover, the takeover began at 41.4 s and the shard opened only
+ * once the cloud was back at 103 s. In bench/mutes.toml with seed 1, shard 1 was closed from 133 to
+ * 222 s because of seven machines that had been silent since 102 s.
  *
  * The cause: a new owner waited for a machine's lease to expire only if the former owner was its
  * own previous incarnation, since any other former owner may go on renewing the lease. Now the new
@@ -29,7 +29,7 @@
   double state_outage_s; /* the state service is out this long in the middle of the wait */
   /* The number of successors that crash in the wait, one after the other. */
   guint successor_crashes;
-  double clock_drift;          /* share by which the nodes' clocks run fast */
+  double clock_drift;          /* fraction by which the nodes' clocks run fast */
   gboolean replay_old_reports; /* reports from before the crash reach all nodes in the wait */
 } TakeoverScenario;
 
@@ -166,8 +166,8 @@
   }
 }
 
-/* The former owner does not restart while the cloud is out. The cancellation then need not be
- * confirmed, since the former owner may go on renewing the machine's lease. */
+/* The former owner does not restart while the cloud is out. The new owner cannot tell that it is
+ * down: it might go on renewing the machine's lease. So the cancellation need not be confirmed. */
 static void
 test_former_owner_stays_down (void)
 {
@@ -252,7 +252,8 @@
       TRUE);
 }
 
-/* The nodes' clocks run slow or fast by 0.0005, the largest drift that the leases allow for. */
+/* The nodes' clocks run slow or fast by a fraction of 0.0005, the largest drift of one clock that
+ * the leases allow for. */
 static void
 test_clock_drift (void)
 {
@@ -271,7 +272,7 @@
   }
 }
 
-/* --- helpers for the other tests ------------------------------------------------------ */
+/* --- helpers for the other tests -------------------------------------------------------- */
 /* Starts the cluster, lets the first job's tasks run, then takes the cloud out. */
 static void
 start_with_cloud_outage (const SimOptions *options, guint tasks)
@@ -293,7 +294,7 @@
   }
 }
 
-/* --- the former owner is alive --------------------------------------------------------- */
+/* --- the former owner is alive ---------------------------------------------------------- */
 /* The former owner loses the state service, and its peers too unless `reaches_peers`. A machine
  * that reaches no other node goes on reporting to it. */
 static void
