--- a/tests/test_combined_faults.c
+++ b/tests/test_combined_faults.c
@@ -43,10 +43,10 @@
 static void
 zone_partition (void)
 {
-  SimOptions o = default_options;
-  o.zones = 2;
-  o.run_time_jitter = 0.5;
-  start_cluster (&o);
+  SimOptions options = default_options;
+  options.zones = 2;
+  options.run_time_jitter = 0.5;
+  start_cluster (&options);
   submit_jobs (40, 20);
   sim_run (30);
   for (guint k = 0; k < 2; k++) {
@@ -72,10 +72,10 @@
 static void
 ends_under_different_owners (void)
 {
-  SimOptions o = default_options;
-  o.run_time_jitter = 0.9;
-  o.duplicate_reports = 0.2;
-  start_cluster (&o);
+  SimOptions options = default_options;
+  options.run_time_jitter = 0.9;
+  options.duplicate_reports = 0.2;
+  start_cluster (&options);
   for (guint i = 0; i < 24; i++) {
     g_autofree char *id = g_strdup_printf ("wk-0001%02u", i);
     g_autofree char *team = g_strdup_printf ("team%u", i % 3);
@@ -103,9 +103,9 @@
 static void
 late_writes (void)
 {
-  SimOptions o = default_options;
-  o.run_time_jitter = 0.5;
-  start_cluster (&o);
+  SimOptions options = default_options;
+  options.run_time_jitter = 0.5;
+  start_cluster (&options);
   sim_delay_commits (0.35);
   submit_jobs (40, 10);
   sim_run (25);
@@ -135,11 +135,11 @@
 static void
 placement_constraints (void)
 {
-  SimOptions o = default_options;
-  o.zones = 2;
-  o.max_machines = 10;
-  o.run_time_jitter = 0.5;
-  start_cluster (&o);
+  SimOptions options = default_options;
+  options.zones = 2;
+  options.max_machines = 10;
+  options.run_time_jitter = 0.5;
+  start_cluster (&options);
   for (guint i = 0; i < 12; i++) {
     g_autofree char *id = g_strdup_printf ("wk-0002%02u", i);
     g_autofree char *team = g_strdup_printf ("team%u", i % 3);
@@ -148,8 +148,8 @@
   sim_run (35);
   for (guint i = 0; i < 3; i++) {
     g_auto (GStrv) all = sim_machine_names (NULL);
-    guint n = g_strv_length (all);
-    if (n > 4) {
+    guint machine_count = g_strv_length (all);
+    if (machine_count > 4) {
       sim_machine_kill (all[0]);
       sim_machine_pause (all[1], TRUE);
       set_links_to_machine (all[2], SIM_LINK_DROP);
@@ -158,7 +158,7 @@
     }
     crash_and_restart (i, i % 2 ? 0.3 : 9);
     sim_run (6);
-    if (n > 4) {
+    if (machine_count > 4) {
       sim_machine_pause (all[1], FALSE);
       set_links_to_machine (all[2], SIM_LINK_UP);
       set_machine_links (all[3], SIM_LINK_UP);
@@ -180,9 +180,9 @@
 static void
 ten_owner_changes (void)
 {
-  SimOptions o = default_options;
-  o.duplicate_reports = 0.2;
-  start_cluster (&o);
+  SimOptions options = default_options;
+  options.duplicate_reports = 0.2;
+  start_cluster (&options);
   submit_jobs (60, 12);
   sim_run (30);
   for (guint i = 0; i < 10; i++) {
@@ -211,10 +211,10 @@
 static void
 quota_at_takeover (void)
 {
-  SimOptions o = default_options;
-  o.team_limit = 24;
-  o.run_time_jitter = 0.3;
-  start_cluster (&o);
+  SimOptions options = default_options;
+  options.team_limit = 24;
+  options.run_time_jitter = 0.3;
+  start_cluster (&options);
   sim_submit ("wk-000001", "team0", "normal", 40, 1, 40, 900);
   sim_submit ("wk-000002", "team0", "normal", 40, 1, 40, 900);
   sim_run (40);
@@ -249,9 +249,9 @@
 static void
 unreachable_at_takeover (void)
 {
-  SimOptions o = default_options;
-  o.run_time_jitter = 0.3;
-  start_cluster (&o);
+  SimOptions options = default_options;
+  options.run_time_jitter = 0.3;
+  start_cluster (&options);
   sim_submit ("wk-000001", "team0", "normal", 50, 1, 70, 900);
   sim_run (40);
   for (guint i = 0; i < 4; i++) {
@@ -290,9 +290,9 @@
 static void
 commands_to_paused_machines (void)
 {
-  SimOptions o = default_options;
-  o.run_time_jitter = 0.5;
-  start_cluster (&o);
+  SimOptions options = default_options;
+  options.run_time_jitter = 0.5;
+  start_cluster (&options);
   submit_jobs (60, 6);
   for (guint i = 0; i < 14; i++) {
     sim_run (5);
@@ -356,9 +356,9 @@
 static void
 machines_stop_reporting (void)
 {
-  SimOptions o = default_options;
-  o.run_time_jitter = 0.3;
-  start_cluster (&o);
+  SimOptions options = default_options;
+  options.run_time_jitter = 0.3;
+  start_cluster (&options);
   submit_jobs (60, 20);
   sim_run (35);
   for (guint i = 0; i < 4; i++) {
@@ -390,9 +390,9 @@
 static void
 process_stall (void)
 {
-  SimOptions o = default_options;
-  o.run_time_jitter = 0.4;
-  start_cluster (&o);
+  SimOptions options = default_options;
+  options.run_time_jitter = 0.4;
+  start_cluster (&options);
   submit_jobs (60, 15);
   sim_run (30);
   for (guint i = 0; i < 4; i++) {
@@ -451,17 +451,17 @@
 static void
 start_after_recovery (gboolean unreachable, gboolean full)
 {
-  SimOptions o = default_options;
-  o.max_machines = 2;
-  start_cluster (&o);
+  SimOptions options = default_options;
+  options.max_machines = 2;
+  start_cluster (&options);
   sim_submit ("wk-000002", "team0", "normal", full ? 12 : 2, full ? 1 : 5, 900, 2000);
   sim_run (40);
   sim_submit ("wk-000001", "team0", "normal", 40, 1, 30, 600);
   sim_job_fail_tasks ("wk-000001", !unreachable);
   sim_run (2);
-  g_autofree char *m = g_strdup (sim_least_busy_machine ());
+  g_autofree char *machine = g_strdup (sim_least_busy_machine ());
   if (unreachable)
-    set_links_to_machine (m, SIM_LINK_DROP);
+    set_links_to_machine (machine, SIM_LINK_DROP);
   sim_run (250);
   guint before = sim_tasks_started () + sim_runs_lost (NULL);
   for (guint i = 0; i < 400 && sim_tasks_started () + sim_runs_lost (NULL) == before; i++)
@@ -471,7 +471,7 @@
   g_assert_cmpstr (sim_reported_state ("wk-000001"), !=, "done");
   sim_faults_over ();
   sim_job_fail_tasks ("wk-000001", FALSE);
-  set_links_to_machine (m, SIM_LINK_UP);
+  set_links_to_machine (machine, SIM_LINK_UP);
   finish_and_check (1600);
 }
 
@@ -507,20 +507,20 @@
   sim_run (35);
   sim_submit ("wk-000002", "team0", "normal", 90, 1, 400, 2000);
   sim_run (25);
-  g_autofree char *m = g_strdup (sim_machine_of ("wk-000001"));
-  sim_set_link ("n0", m, SIM_LINK_DROP);
+  g_autofree char *machine = g_strdup (sim_machine_of ("wk-000001"));
+  sim_set_link ("n0", machine, SIM_LINK_DROP);
   sim_cancel_at ("wk-000001", 1);
   sim_run (0.5);
   g_assert_cmpstr (sim_reported_state ("wk-000001"), ==, "cancelled");
   sim_node_pause (0, TRUE);
   sim_run (1);
-  sim_set_link ("n0", m, SIM_LINK_UP);
+  sim_set_link ("n0", machine, SIM_LINK_UP);
   sim_run (45);
-  g_assert_true (sim_machine_alive (m));
+  g_assert_true (sim_machine_alive (machine));
   sim_state_refuse_node (0, TRUE);
   sim_node_pause (0, FALSE);
   sim_run (4);
-  g_assert_true (sim_machine_alive (m));
+  g_assert_true (sim_machine_alive (machine));
   g_assert_cmpuint (sim_request (0, "GET", "/ready", NULL), ==, 503);
   sim_state_refuse_node (0, FALSE);
   sim_run (5);
@@ -547,7 +547,7 @@
     sim_request_async (1, "GET", "/api/jobs/wk-000001", NULL);
   sim_run (1);
   g_assert_cmpuint (sim_response_count (200), ==, 300);
-  /* Lease renewals, machine records and two reads. */
+  /* These requests are lease renewals, writes of machine records and two reads of the job. */
   g_assert_cmpuint (sim_state_request_count () - before, <, 30);
   sim_cancel_at ("wk-000001", 2);
   for (guint i = 0; i < 300; i++) { /* during the cancellation and after it */
@@ -595,9 +595,9 @@
 static void
 polls_during_faults (void)
 {
-  SimOptions o = default_options;
-  o.run_time_jitter = 0.8;
-  start_cluster (&o);
+  SimOptions options = default_options;
+  options.run_time_jitter = 0.8;
+  start_cluster (&options);
   guint requests_before = 0, requests = 0;
   for (guint i = 0; i < 90; i++) {
     g_autofree char *id = g_strdup_printf ("wk-0005%02u", i);
@@ -639,7 +639,8 @@
   sim_state_delay (0);
   g_assert_cmpuint (sim_response_count (200), >, 1500);
   g_test_message ("%u requests to the state service", requests);
-  /* For 400 polls and everything else; without shared reads there are 320 requests and more. */
+  /* These requests serve 400 polls and everything else. Without shared reads there are at least 320
+   * of them. */
   g_assert_cmpuint (requests, <, 280);
   finish_and_check (300);
 }
@@ -720,10 +721,10 @@
 static void
 former_owner_and_leader (guint node)
 {
-  SimOptions o = default_options;
-  o.max_machines = 60;
-  start_cluster (&o);
-  submit_jobs (32, 150); /* for 4, 4 and 8 machines */
+  SimOptions options = default_options;
+  options.max_machines = 60;
+  start_cluster (&options);
+  submit_jobs (32, 150); /* needs 4, 4 and 8 machines */
   sim_run (40);
   g_assert_cmpuint (sim_tasks_running (NULL), ==, 96);
   guint before = sim_machine_count ();
@@ -742,7 +743,7 @@
     sim_run (1);
   sim_run (30);
   g_assert_cmpuint (sim_tasks_running (NULL), ==, 192);
-  /* 12 more for the new jobs, and a few that are partly used. */
+  /* The new jobs need 12 more machines; a few further machines may be partly used. */
   g_assert_cmpuint (sim_machine_count (), <=, before + 12 + 4);
   sim_set_link_both (node_name (node), "state", SIM_LINK_UP);
   finish_and_check (600);
@@ -783,12 +784,12 @@
 static void
 few_machines (void)
 {
-  SimOptions o = default_options;
-  o.teams = 6;
-  o.max_machines = 3;
-  o.machine_cpus = 4;
-  o.run_time_jitter = 0.5;
-  start_cluster (&o);
+  SimOptions options = default_options;
+  options.teams = 6;
+  options.max_machines = 3;
+  options.machine_cpus = 4;
+  options.run_time_jitter = 0.5;
+  start_cluster (&options);
   sim_faults_over ();
   for (guint i = 0; i < 8; i++) {
     g_autofree char *id = g_strdup_printf ("wk-0007%02u", i);
@@ -814,11 +815,11 @@
 static void
 oldest_job_first (void)
 {
-  SimOptions o = default_options;
-  o.teams = 6;
-  o.max_machines = 1;
-  o.machine_cpus = 4;
-  start_cluster (&o);
+  SimOptions options = default_options;
+  options.teams = 6;
+  options.max_machines = 1;
+  options.machine_cpus = 4;
+  start_cluster (&options);
   for (guint i = 0; i < 45; i++) {
     g_autofree char *id = g_strdup_printf ("wk-0008%02u", i);
     sim_submit (id, "team0", "urgent", 1, 4, 30, 60);
@@ -848,17 +849,17 @@
   start_cluster (&default_options);
   sim_submit ("wk-000001", "team0", "normal", 300, 1, 15, 2000);
   sim_run (35);
-  g_autofree char *m = g_strdup (sim_busiest_machine ());
-  set_links_to_machine (m, SIM_LINK_DROP);
+  g_autofree char *machine = g_strdup (sim_busiest_machine ());
+  set_links_to_machine (machine, SIM_LINK_DROP);
   crash_and_restart (0, 0.3);
   sim_run (6); /* the machine has tried all nodes by then */
   if (stops_reporting)
-    set_machine_links (m, SIM_LINK_DROP);
+    set_machine_links (machine, SIM_LINK_DROP);
   sim_run (16);
   sim_submit ("wk-000002", "team0", "urgent", 8, 1, 5, 60);
   sim_run (12);
   g_assert_cmpfloat (sim_time_to_first_task ("wk-000002"), >, 0);
-  set_machine_links (m, SIM_LINK_UP);
+  set_machine_links (machine, SIM_LINK_UP);
   finish_and_check (900);
 }
 
@@ -886,11 +887,11 @@
 static void
 test_many_one_task_jobs (void)
 {
-  SimOptions o = default_options;
-  o.nodes = 7;
-  o.max_machines = 40;
-  o.write_rps = 15;
-  start_cluster (&o);
+  SimOptions options = default_options;
+  options.nodes = 7;
+  options.max_machines = 40;
+  options.write_rps = 15;
+  start_cluster (&options);
   for (guint i = 0; i < 300; i++) {
     g_autofree char *id = g_strdup_printf ("wk-0009%03u", i);
     sim_submit (id, "team0", "normal", 1, 1, 5, 300);
@@ -905,9 +906,9 @@
 static void
 machines_never_boot (void)
 {
-  SimOptions o = default_options;
-  o.max_machines = 40;
-  start_cluster (&o);
+  SimOptions options = default_options;
+  options.max_machines = 40;
+  start_cluster (&options);
   sim_fail_boots (TRUE);
   sim_submit ("wk-000001", "team0", "normal", 80, 1, 200, 400);
   sim_run (12);
@@ -933,12 +934,12 @@
 static void
 test_huge_array (void)
 {
-  SimOptions o = default_options;
-  o.max_machines = 60;
-  o.value_kb = 8;
-  o.write_rps = 15;
-  o.machine_poll_s = 0.25;
-  start_cluster (&o);
+  SimOptions options = default_options;
+  options.max_machines = 60;
+  options.value_kb = 8;
+  options.write_rps = 15;
+  options.machine_poll_s = 0.25;
+  start_cluster (&options);
   sim_submit ("wk-000001", "team0", "idle", 26000, 1, 1, 2000);
   sim_submit ("wk-000002", "team0", "idle", 100000, 1, 1, 2000);
   sim_run (40);
@@ -963,9 +964,9 @@
 static void
 failing_job (void)
 {
-  SimOptions o = default_options;
-  o.max_machines = 5;
-  start_cluster (&o);
+  SimOptions options = default_options;
+  options.max_machines = 5;
+  start_cluster (&options);
   /* Its deadline passes at once, so that this job would rank first. */
   sim_submit ("wk-000001", "team0", "urgent", 200, 1, 20, 1);
   sim_job_fail_tasks ("wk-000001", TRUE);
@@ -1023,30 +1024,31 @@
     set_links_to_machine (machine, link_state);
 }
 
-/* Injects the faults that concern nodes, into nodes a and b. */
+/* Injects the faults that concern nodes: into `node` or, if the state service refuses a node or a
+ * node is paused, into `other_node`. */
 static void
-inject_node_faults (guint a, guint b, guint faults, SimLinkState link_state)
+inject_node_faults (guint node, guint other_node, guint faults, SimLinkState link_state)
 {
   if (faults & FAULT_DELAYED_COMMITS)
     sim_delay_commits (0.3);
   if (faults & FAULT_STATE_LINK)
-    sim_set_link_both (node_name (a), "state", link_state);
+    sim_set_link_both (node_name (node), "state", link_state);
   if (faults & FAULT_PEER_LINK)
-    sim_set_link_both (node_name (a), node_name (b), link_state);
+    sim_set_link_both (node_name (node), node_name (other_node), link_state);
   if (faults & FAULT_STATE_REFUSES_NODE)
-    sim_state_refuse_node (b, TRUE);
+    sim_state_refuse_node (other_node, TRUE);
   if (faults & FAULT_NODE_PAUSED)
-    sim_node_pause (b, TRUE);
+    sim_node_pause (other_node, TRUE);
 }
 
 static void
-clear_faults (guint a, guint b, char **machines)
+clear_faults (guint node, guint other_node, char **machines)
 {
   sim_delay_commits (0);
-  sim_set_link_both (node_name (a), "state", SIM_LINK_UP);
-  sim_set_link_both (node_name (a), node_name (b), SIM_LINK_UP);
-  sim_state_refuse_node (b, FALSE);
-  sim_node_pause (b, FALSE);
+  sim_set_link_both (node_name (node), "state", SIM_LINK_UP);
+  sim_set_link_both (node_name (node), node_name (other_node), SIM_LINK_UP);
+  sim_state_refuse_node (other_node, FALSE);
+  sim_node_pause (other_node, FALSE);
   for (char **m = machines; *m; m++) {
     sim_machine_pause (*m, FALSE);
     sim_machine_stop_reports (*m, FALSE);
@@ -1055,17 +1057,18 @@
 }
 
 static void
-run_fault_round (GRand *r, guint i)
+run_fault_round (GRand *rng, guint i)
 {
-  guint a = (guint) g_rand_int_range (r, 0, 3), b = (a + 1) % 3;
+  guint node = (guint) g_rand_int_range (rng, 0, 3), other_node = (node + 1) % 3;
   g_auto (GStrv) all = sim_machine_names (NULL);
-  guint n = g_strv_length (all), first = n ? (guint) g_rand_int_range (r, 0, (gint) n) : 0;
-  SimLinkState link_state = g_rand_boolean (r) ? SIM_LINK_HOLD : SIM_LINK_DROP;
+  guint machine_count = g_strv_length (all),
+        first = machine_count ? (guint) g_rand_int_range (rng, 0, (gint) machine_count) : 0;
+  SimLinkState link_state = g_rand_boolean (rng) ? SIM_LINK_HOLD : SIM_LINK_DROP;
   guint faults = 0;
   for (guint k = 0; k < 3; k++)
-    faults |= 1u << g_rand_int_range (r, 0, FAULT_KINDS);
-  inject_node_faults (a, b, faults, link_state);
-  for (guint k = first; k < n && k < first + 3; k++)
+    faults |= 1u << g_rand_int_range (rng, 0, FAULT_KINDS);
+  inject_node_faults (node, other_node, faults, link_state);
+  for (guint k = first; k < machine_count && k < first + 3; k++)
     inject_machine_faults (all[k], faults, link_state);
   if (i % 4 == 0) {
     g_autofree char *id = g_strdup_printf ("wk-0004%02u", i / 4);
@@ -1073,14 +1076,14 @@
   }
   if (faults & FAULT_STATE_OUTAGE) {
     sim_state_outage (TRUE);
-    sim_run (g_rand_double_range (r, 1, 30));
+    sim_run (g_rand_double_range (rng, 1, 30));
     sim_state_outage (FALSE);
   }
-  sim_run (g_rand_double_range (r, 0.5, 15));
-  if (g_rand_boolean (r))
-    crash_and_restart (a, g_rand_boolean (r) ? 0.2 : g_rand_double_range (r, 1, 9));
-  clear_faults (a, b, all);
-  sim_run (g_rand_double_range (r, 0, 8));
+  sim_run (g_rand_double_range (rng, 0.5, 15));
+  if (g_rand_boolean (rng))
+    crash_and_restart (node, g_rand_boolean (rng) ? 0.2 : g_rand_double_range (rng, 1, 9));
+  clear_faults (node, other_node, all);
+  sim_run (g_rand_double_range (rng, 0, 8));
 }
 
 /* All kinds of faults above, drawn at random, up to three kinds at a time, with crashes and
@@ -1088,15 +1091,15 @@
 static void
 random_faults (void)
 {
-  g_autoptr (GRand) r = g_rand_new_with_seed (seed);
-  SimOptions o = default_options;
-  o.zones = 2;
-  o.max_machines = 10;
-  o.run_time_jitter = 0.5;
-  o.duplicate_reports = 0.15;
-  o.image_pull_s = 1;
-  o.team_limit = 40;
-  start_cluster (&o);
+  g_autoptr (GRand) rng = g_rand_new_with_seed (seed);
+  SimOptions options = default_options;
+  options.zones = 2;
+  options.max_machines = 10;
+  options.run_time_jitter = 0.5;
+  options.duplicate_reports = 0.15;
+  options.image_pull_s = 1;
+  options.team_limit = 40;
+  start_cluster (&options);
   submit_jobs (50, 10);
   for (guint i = 0; i < 10; i++) {
     g_autofree char *id = g_strdup_printf ("wk-0004%02u", i);
@@ -1105,7 +1108,7 @@
   }
   sim_run (15);
   for (guint i = 0; i < 20; i++) {
-    run_fault_round (r, i);
+    run_fault_round (rng, i);
     g_assert_cmpstr (sim_violations (), ==, "");
   }
   finish_and_check (900);
@@ -1123,8 +1126,8 @@
 static void
 cloud_outage_at_takeover (void)
 {
-  SimOptions o = default_options;
-  start_cluster (&o);
+  SimOptions options = default_options;
+  start_cluster (&options);
   sim_submit ("wk-000001", "team0", "normal", 16, 1, 100, 600);
   sim_run (30);
   sim_cloud_outage (TRUE);
