--- a/tests/test_races.c
+++ b/tests/test_races.c
@@ -10,9 +10,9 @@
 small_jobs (void)
 {
   g_autoptr (GRand) random = g_rand_new_with_seed (seed);
-  SimOptions o = default_options;
-  o.run_time_jitter = 0.8;
-  start_cluster (&o);
+  SimOptions options = default_options;
+  options.run_time_jitter = 0.8;
+  start_cluster (&options);
   for (guint i = 0; i < 480; i++) {
     g_autofree char *id = g_strdup_printf ("wk-01%04u", i);
     g_autofree char *team = g_strdup_printf ("team%u", i % 3);
@@ -40,12 +40,12 @@
 static void
 quick_boots (void)
 {
-  SimOptions o = default_options;
-  o.boot_min_s = 0.2;
-  o.boot_max_s = 2;
-  o.max_machines = 20;
-  o.run_time_jitter = 0.5;
-  start_cluster (&o);
+  SimOptions options = default_options;
+  options.boot_min_s = 0.2;
+  options.boot_max_s = 2;
+  options.max_machines = 20;
+  options.run_time_jitter = 0.5;
+  start_cluster (&options);
   for (guint i = 0; i < 9; i++) {
     g_autofree char *id = g_strdup_printf ("wk-0200%02u", i);
     g_autofree char *team = g_strdup_printf ("team%u", i % 3);
@@ -72,9 +72,9 @@
 static void
 late_commands (void)
 {
-  SimOptions o = default_options;
-  o.run_time_jitter = 0.5;
-  start_cluster (&o);
+  SimOptions options = default_options;
+  options.run_time_jitter = 0.5;
+  start_cluster (&options);
   sim_delay_commands (0.5);
   submit_jobs (50, 20);
   sim_run (30);
@@ -108,10 +108,10 @@
 static void
 lost_commit_responses (void)
 {
-  SimOptions o = default_options;
-  o.poll_after_change = TRUE;
-  o.run_time_jitter = 0.5;
-  start_cluster (&o);
+  SimOptions options = default_options;
+  options.poll_after_change = TRUE;
+  options.run_time_jitter = 0.5;
+  start_cluster (&options);
   for (guint i = 0; i < 30; i++) {
     g_autofree char *id = g_strdup_printf ("wk-0400%02u", i);
     g_autofree char *team = g_strdup_printf ("team%u", i % 3);
@@ -168,10 +168,10 @@
 static void
 polls_after_change (void)
 {
-  SimOptions o = default_options;
-  o.poll_after_change = TRUE;
-  o.run_time_jitter = 0.8;
-  start_cluster (&o);
+  SimOptions options = default_options;
+  options.poll_after_change = TRUE;
+  options.run_time_jitter = 0.8;
+  start_cluster (&options);
   sim_state_delay (0.2);
   for (guint i = 0; i < 60; i++) {
     g_autofree char *id = g_strdup_printf ("wk-0500%02u", i);
@@ -204,9 +204,9 @@
 static void
 old_reports (void)
 {
-  SimOptions o = default_options;
-  o.run_time_jitter = 0.5;
-  start_cluster (&o);
+  SimOptions options = default_options;
+  options.run_time_jitter = 0.5;
+  start_cluster (&options);
   submit_jobs (60, 12);
   sim_run (35);
   for (guint i = 0; i < 9; i++) {
@@ -241,10 +241,10 @@
 static void
 teams_at_quota (void)
 {
-  SimOptions o = default_options;
-  o.team_limit = 16;
-  o.run_time_jitter = 0.3;
-  start_cluster (&o);
+  SimOptions options = default_options;
+  options.team_limit = 16;
+  options.run_time_jitter = 0.3;
+  start_cluster (&options);
   for (guint i = 0; i < 9; i++) {
     g_autofree char *id = g_strdup_printf ("wk-0600%02u", i);
     g_autofree char *team = g_strdup_printf ("team%u", i % 3);
@@ -292,9 +292,9 @@
 static void
 stale_watch_event (gboolean cancel)
 {
-  SimOptions o = default_options;
-  o.run_time_jitter = 0.9;
-  start_cluster (&o);
+  SimOptions options = default_options;
+  options.run_time_jitter = 0.9;
+  start_cluster (&options);
   sim_submit ("wk-000001", "team0", "normal", 24, 1, cancel ? 40 : 14, 600);
   /* Keeps machines with room rented. */
   sim_submit ("wk-000002", "team0", "normal", 6, 1, 90, 600);
