--- a/tests/test_double_start.c
+++ b/tests/test_double_start.c
@@ -9,10 +9,10 @@
 static void
 overtaken_report (void)
 {
-  SimOptions o = default_options;
-  o.report_s = 6;
-  o.lease_s = 20;
-  start_cluster (&o);
+  SimOptions options = default_options;
+  options.report_s = 6;
+  options.lease_s = 20;
+  start_cluster (&options);
   sim_submit ("wk-000001", "team0", "normal", 1, 2, 150, 600);
   sim_submit ("wk-000002", "team0", "normal", 1, 1, 150, 600); /* its cancellation is the command */
   sim_run (25);
@@ -44,10 +44,10 @@
 static void
 late_assignment (void)
 {
-  SimOptions o = default_options;
-  o.machine_cpus = 1;
-  o.max_machines = 110; /* more than one chunk of a shard's machine record */
-  start_cluster (&o);
+  SimOptions options = default_options;
+  options.machine_cpus = 1;
+  options.max_machines = 110; /* more than one chunk of a shard's machine record */
+  start_cluster (&options);
   sim_submit ("wk-000002", "team1", "normal", 64, 1, 150, 600);
   sim_submit ("wk-000004", "team1", "normal", 12, 1, 150, 600);
   sim_run (30);
