--- a/tests/test_machine_records.c
+++ b/tests/test_machine_records.c
@@ -158,8 +158,8 @@
   kr_machine_records_free (records);
 }
 
-/* A newer revision of a chunk, but not of another one, shows that a transaction which expects the
- * chunk's older revision can no longer succeed. */
+/* A transaction that expects a chunk's old revision can no longer succeed once a newer revision of
+ * that chunk has been seen. A newer revision of another chunk shows nothing about it. */
 static void
 test_chunk_version (void)
 {
