--- a/tests/test_ranking.c
+++ b/tests/test_ranking.c
@@ -1,5 +1,5 @@
-/* The estimate and the ranking compared with a simple, slow model on random inputs (the seed is
- * printed), and the rules of placement. */
+/* Compares the estimate and the ranking with a simple, slow model on random inputs (the seed is
+ * printed), and tests the rules of placement. */
 #include "constants.h"
 #include "placement.h"
 #include "ranking.h"
