--- a/tests/test_rebalance.c
+++ b/tests/test_rebalance.c
@@ -68,8 +68,9 @@
 }
 
 /* With constant targets the moves must come to an end. The failure: a machine moved back and forth
- * for ever between two shards when either lacked half a machine without it and had half a machine
- * too much with it. Also, each shard with a target gets a machine if there are enough of them. */
+ * for ever between two shards, each of which was half a machine below its target without it and
+ * half a machine above its target with it. Also, each shard with a target gets a machine if there
+ * are enough of them. */
 static void
 test_converges (void)
 {
@@ -87,7 +88,8 @@
     rebalance_and_apply (&fleet, targets);
     rebalance_and_apply (&fleet, targets);
     g_assert_cmpuint (rebalance_and_apply (&fleet, targets), ==, 0);
-    /* Each shard is less than a machine off its target, unless others keep their last machine. */
+    /* Each shard is less than a machine off its target. It may lack more only if no other shard
+     * exceeds its target with more than its last machine. */
     double cpus[SHARDS];
     kr_rebalance_count_cpus (fleet.supplies, SHARDS, cpus);
     for (guint shard = 0; shard < SHARDS; shard++) {
