--- a/tests/test_allocation.c
+++ b/tests/test_allocation.c
@@ -67,13 +67,13 @@
 static void
 test_match (void)
 {
-  const KrMachineType t = { .name = (char *) "t", .cpus = 8, .mem_gb = 64 };
+  const KrMachineType type = { .name = (char *) "t", .cpus = 8, .mem_gb = 64 };
   g_autoptr (GPtrArray) demands = g_ptr_array_new_with_free_func (kr_demand_free);
   g_autoptr (GPtrArray) supplies = g_ptr_array_new_with_free_func (kr_supply_free);
   g_ptr_array_add (demands, demand_new (0, 1, 8, TRUE));
   g_ptr_array_add (demands, demand_new (1, 4, 3, FALSE));
-  KrSupply *on_demand = supply_new ("a", &t, 0, FALSE), *spot = supply_new ("b", &t, 0, TRUE),
-           *idle = supply_new ("c", &t, 1, TRUE);
+  KrSupply *on_demand = supply_new ("a", &type, 0, FALSE), *spot = supply_new ("b", &type, 0, TRUE),
+           *idle = supply_new ("c", &type, 1, TRUE);
   g_ptr_array_add (supplies, on_demand);
   g_ptr_array_add (supplies, spot);
   g_ptr_array_add (supplies, idle);
@@ -90,12 +90,12 @@
 static void
 test_shard_targets (void)
 {
-  KrMachineType t = { .name = (char *) "t", .cpus = 8, .mem_gb = 64 };
+  KrMachineType type = { .name = (char *) "t", .cpus = 8, .mem_gb = 64 };
   g_autoptr (GPtrArray) types = g_ptr_array_new ();
   g_autoptr (GPtrArray) demands = g_ptr_array_new_with_free_func (kr_demand_free);
   g_autoptr (GPtrArray) supplies = g_ptr_array_new_with_free_func (kr_supply_free);
   double targets[3];
-  g_ptr_array_add (types, &t);
+  g_ptr_array_add (types, &type);
   KrDemand *urgent = demand_new (0, 1, 10, TRUE), *extensible = demand_new (1, 1, 4, TRUE),
            *normal = demand_new (2, 1, 6, TRUE);
   urgent->urgent = TRUE;
@@ -113,7 +113,7 @@
   g_assert_cmpfloat (targets[2], ==, 6);
   for (guint i = 0; i < 4; i++) {
     g_autofree char *id = g_strdup_printf ("m%u", i);
-    g_ptr_array_add (supplies, supply_new (id, &t, 1, TRUE));
+    g_ptr_array_add (supplies, supply_new (id, &type, 1, TRUE));
   }
   kr_allocation_match (demands, supplies, TRUE);
   g_assert_cmpfloat (((KrSupply *) supplies->pdata[3])->unused, <, 1e-6);
