--- a/tests/test_service.c
+++ b/tests/test_service.c
@@ -11,7 +11,7 @@
   finish_and_check (200);
 }
 
-/* Half of the machines are lost at once, long after the cloud had no more machines to rent.
+/* Half of the machines are lost at once, long after the cloud has run out of machines to rent.
  * Replacements must be rented as soon as the loss is known, not only when the long backoffs of the
  * refused pools are over. */
 static void
@@ -75,9 +75,9 @@
 }
 
 /* The new owner reaches one machine, but neither another one nor the cloud. The old owner, which
- * has lost the state service and its peers, still reaches the second machine. It must not consider
- * the first machine, which the new owner answers, silent and start that machine's tasks on the
- * second one. */
+ * has lost the state service and its peers, still reaches the second machine. Since the new owner
+ * answers the first machine, the old owner must not consider that machine silent and start its
+ * tasks on the second one. */
 static void
 owner_reaches_only_workers (void)
 {
