--- a/tests/test_double_start.c
+++ b/tests/test_double_start.c
@@ -14,7 +14,8 @@
   options.lease_s = 20;
   start_cluster (&options);
   sim_submit ("wk-000001", "team0", "normal", 1, 2, 150, 600);
-  sim_submit ("wk-000002", "team0", "normal", 1, 1, 150, 600); /* its cancellation is the command */
+  /* The cancellation of this job makes the owner send the direct command. */
+  sim_submit ("wk-000002", "team0", "normal", 1, 1, 150, 600);
   sim_run (25);
   sim_submit ("wk-000003", "team0", "normal", 7, 5, 150, 600); /* leaves room on other machines */
   sim_run (30);
@@ -58,7 +59,8 @@
   sim_cancel ("wk-000001");
   sim_submit ("wk-000003", "team1", "urgent", 8, 1, 60, 600);
   sim_run (22);
-  sim_cancel ("wk-000004"); /* makes room to start tasks again that a shard considers gone */
+  /* This makes room in which tasks that a shard wrongly considers gone could start again. */
+  sim_cancel ("wk-000004");
   sim_run (1.5);
   for (guint i = 0; i < 6; i++) { /* each job changes the second shard's machine record */
     g_autofree char *id = g_strdup_printf ("wk-00001%u", i);
