--- a/tests/test_races.c
+++ b/tests/test_races.c
@@ -67,8 +67,8 @@
   with_seeds (quick_boots);
 }
 
-/* Half of the direct commands are delayed and executed after commands of a new owner, also where
- * the owner that sent them has crashed or lost its shard by then. */
+/* Half of the direct commands get no response and are executed seconds late: some of them after the
+ * owner that sent them has crashed or lost its shard, and after commands of the new owner. */
 static void
 late_commands (void)
 {
@@ -283,12 +283,12 @@
 
 /* Guards against a stale watch event that revives an ended job. In the test
  * /double-start/late-assignment an owner's watch of the jobs showed one of its own earlier writes
- * only after its final write had removed the job (the log had job wk-000001 cancelled, then read
- * again, then ended). The job came back as that write had stored it: from before its cancellation,
- * so that its tasks started after the user had been told (`started_cancelled`), or from before its
- * last tasks were done, so that these started again. The cause: revisions were compared for live
- * jobs only, and nothing was kept of an ended job. Watch responses may be seconds late, as the
- * state service is slow now and then. */
+ * only after its final write had removed the job (its log showed job wk-000001 as cancelled, then
+ * as read again, then as ended). The job came back as that write had stored it: from before its
+ * cancellation, so that its tasks started after the user had been told (`started_cancelled`), or
+ * from before its last tasks were done, so that these started again. The cause: revisions were
+ * compared for live jobs only, and nothing was kept of an ended job. Watch responses may be seconds
+ * late, as the state service is slow now and then. */
 static void
 stale_watch_event (gboolean cancel)
 {
