--- a/tests/test_takeover.c
+++ b/tests/test_takeover.c
@@ -376,8 +376,8 @@
 }
 
 /* Some time after the confirmation, the new owner itself renews the lease of a machine that it has
- * not fenced yet, and then the machine falls silent: its lease counts from that answer of the new
- * owner. */
+ * not fenced yet, and then the machine falls silent: its lease counts from that response of the
+ * new owner. */
 static void
 lease_renewed_by_new_owner (void)
 {
@@ -416,7 +416,7 @@
 {
   start_with_cloud_outage (&default_options, 16);
   g_autofree char *machine = g_strdup (sim_machine_of ("wk-000001"));
-  sim_machine_stop_reports (machine, TRUE); /* it sends no reports, but answers commands */
+  sim_machine_stop_reports (machine, TRUE); /* it sends no reports, but responds to commands */
   set_machine_links (machine, SIM_LINK_DROP);
   sim_node_kill (0);
   sim_run (20); /* the new owner has given it up, and its deletion was refused */
@@ -486,7 +486,7 @@
 }
 
 /* A former owner and leader reached the state service again and listed all keys anew, since one of
- * its writes had got no answer. Keys are listed in order, machine records before owners, so the
+ * its writes had got no response. Keys are listed in order, machine records before owners, so the
  * node mistook machines that its successor had returned in the meantime for machines of its own
  * that had left the record with tasks, and asked for their deletion. That violated the invariant
  * KR_INVARIANT_RECORD_KEPT, which aborts a test: machine host-000000 had left the record of shard 0
@@ -500,7 +500,7 @@
   g_autofree char *machine = g_strdup (sim_least_busy_machine ());
   sim_set_link_both ("n0", "state", SIM_LINK_DROP);
   set_links_except ("n0", default_options.nodes, 0, SIM_LINK_DROP);
-  /* n0 rents another machine and tries to assign it to a shard; that write gets no answer. */
+  /* n0 rents another machine and tries to assign it to a shard; that write gets no response. */
   sim_machine_kill (machine);
   sim_run (15);
   /* From now on no machine list shows n0 what becomes of its machines. */
