--- a/tests/test_combined_faults.c
+++ b/tests/test_combined_faults.c
@@ -591,7 +591,7 @@
 
 /* Many users poll many jobs all the time, so that each poll is answered from the shared job view,
  * while jobs are submitted, end and are cancelled, nodes restart and the state service fails. No
- * user may get an older state than in an earlier answer. */
+ * user may get an older state than in an earlier response. */
 static void
 polls_during_faults (void)
 {
