--- a/tests/test_service.c
+++ b/tests/test_service.c
@@ -122,10 +122,10 @@
   finish_and_check (400);
 }
 
-/* The answers to some commits are lost while users submit and cancel jobs; the state service has
+/* The responses to some commits are lost while users submit and cancel jobs; the state service has
  * executed these commits. */
 static void
-test_lost_commit_answers (void)
+test_lost_commit_responses (void)
 {
   start_cluster (&default_options);
   sim_drop_commit_responses (4);
@@ -153,8 +153,8 @@
     sim_run (2);
     /* During an outage a node cannot know whether a job exists: it must answer 503, never guess. */
     g_assert_cmpuint (sim_request (0, "GET", "/api/jobs/wk-999999", NULL), ==, 503);
-    /* No node may leave the load balancer, although some nodes had their last answer from the state
-     * service a little later than others. */
+    /* No node may leave the load balancer, although some nodes had their last response from the
+     * state service a little later than others. */
     for (guint i = 0; i < 36; i++) {
       g_assert_cmpuint (sim_request (i % 3, "GET", "/ready", NULL), ==, 200);
       sim_run (0.3);
@@ -162,7 +162,7 @@
     sim_state_outage (FALSE);
     sim_run (7.4);
   }
-  /* A node that starts during an outage has had no answer yet and must tell its peers so. They
+  /* A node that starts during an outage has had no response yet and must tell its peers so. They
    * would otherwise conclude that the state service answers it, and leave the load balancer. */
   sim_state_outage (TRUE);
   sim_run (3.5);
@@ -179,11 +179,12 @@
 static void
 test_state_outage (void)
 {
-  /* The seed decides when each node had its last answer from the state service. */
+  /* The seed decides when each node had its last response from the state service. */
   with_seeds (state_outage);
 }
 
-/* The state service answers slowly, also during takeovers, and its answers arrive out of order. */
+/* The state service responds slowly, also during takeovers, and its responses arrive out of order.
+ */
 static void
 test_state_slow (void)
 {
@@ -591,7 +592,7 @@
 
 /* Unconfirmed attempts count toward the team's quota, also on a machine that falls silent just when
  * it is given work. In each round, one node's link to the busiest machine drops or holds the
- * answers to reports, which carry the run orders. */
+ * responses to reports, which carry the run orders. */
 static void
 test_quota_with_unconfirmed_attempts (void)
 {
@@ -606,7 +607,7 @@
       continue;
     g_autofree char *id = g_strdup (machine);
     char node[] = { 'n', (char) ('0' + i % 3), 0 };
-    /* Answers to the machine are lost or held; its reports still arrive. */
+    /* Responses to the machine are lost or held; its reports still arrive. */
     sim_set_link (node, id, i % 2 ? SIM_LINK_DROP : SIM_LINK_HOLD);
     sim_run (3);
     sim_set_link (node, id, SIM_LINK_UP);
@@ -625,9 +626,9 @@
   finish_and_check (300);
 }
 
-/* A machine that has come up gets its first tasks in the answer to its first report, not a whole
- * report period later: the owner holds that answer until the record that marks the machine as used
- * is written. */
+/* A machine that has come up gets its first tasks in the response to its first report, not a
+ * whole report period later: the owner holds that response until the record that marks the machine
+ * as used is written. */
 static void
 test_first_report (void)
 {
@@ -752,7 +753,7 @@
   sim_stop ();
 }
 
-/* A machine's reports arrive, but neither answers nor commands reach it. Its tasks must run
+/* A machine's reports arrive, but neither responses nor commands reach it. Its tasks must run
  * elsewhere once its lease is over, and the owner must not go on sending it run orders. */
 static void
 test_machine_receives_nothing (void)
@@ -996,8 +997,8 @@
   sim_run (50);
   g_assert_cmpuint (sim_machine_count (), >, 1900);
   g_assert_cmpuint (sim_tasks_running (NULL), >, 5000);
-  /* All machines are up: handling a report, with its completions and the run orders in the answer,
-   * must not iterate over the other machines. */
+  /* All machines are up: handling a report, with its completions and the run orders in the
+   * response, must not iterate over the other machines. */
   guint64 steps, steps_before;
   guint started_before = sim_tasks_started (), reports_before = sim_reports_handled (&steps_before);
   sim_run (20);
@@ -1079,7 +1080,7 @@
   g_test_add_func ("/service/takeover-with-owner-alive", test_takeover_with_owner_alive);
   g_test_add_func ("/service/owner-reaches-only-workers", test_owner_reaches_only_workers);
   g_test_add_func ("/service/delayed-messages", test_delayed_messages);
-  g_test_add_func ("/service/lost-commit-answers", test_lost_commit_answers);
+  g_test_add_func ("/service/lost-commit-responses", test_lost_commit_responses);
   g_test_add_func ("/service/state-outage", test_state_outage);
   g_test_add_func ("/service/state-slow", test_state_slow);
   g_test_add_func ("/service/state-refuses-one-node", test_state_refuses_one_node);
