--- a/tests/test_service.c
+++ b/tests/test_service.c
@@ -3,7 +3,6 @@
 #include "fixture.h"
 #include <string.h>
 
-/* No faults. */
 static void
 test_no_faults (void)
 {
@@ -12,7 +11,7 @@
   finish_and_check (200);
 }
 
-/* Half of the machines are lost at once, long after the cloud had no more machines to rent.
+/* Half of the machines are lost at once, long after the cloud has run out of machines to rent.
  * Replacements must be rented as soon as the loss is known, not only when the long backoffs of the
  * refused pools are over. */
 static void
@@ -26,7 +25,7 @@
   g_assert_cmpuint (sim_machine_count (), ==, 30);
   for (guint i = 0; i < 15; i++)
     sim_machine_kill (sim_busiest_machine ());
-  sim_run (25); /* the interval between two machine lists, twice the list's lag, and a margin */
+  sim_run (25); /* the interval between two machine lists, twice the lists' lag, and a margin */
   g_assert_cmpuint (sim_machine_count (), >=, 28);
   finish_and_check (900);
 }
@@ -76,9 +75,9 @@
 }
 
 /* The new owner reaches one machine, but neither another one nor the cloud. The old owner, which
- * has lost the state service and its peers, still reaches the second machine. It must not consider
- * the first machine, which the new owner answers, silent and start that machine's tasks on the
- * second one. */
+ * has lost the state service and its peers, still reaches the second machine. Since the new owner
+ * answers the first machine, the old owner must not consider that machine silent and start its
+ * tasks on the second one. */
 static void
 owner_reaches_only_workers (void)
 {
@@ -123,10 +122,10 @@
   finish_and_check (400);
 }
 
-/* The answers to some commits are lost while users submit and cancel jobs; the state service has
+/* The responses to some commits are lost while users submit and cancel jobs; the state service has
  * executed these commits. */
 static void
-test_lost_commit_answers (void)
+test_lost_commit_responses (void)
 {
   start_cluster (&default_options);
   sim_drop_commit_responses (4);
@@ -154,8 +153,8 @@
     sim_run (2);
     /* During an outage a node cannot know whether a job exists: it must answer 503, never guess. */
     g_assert_cmpuint (sim_request (0, "GET", "/api/jobs/wk-999999", NULL), ==, 503);
-    /* No node may leave the load balancer, although some nodes had their last answer from the state
-     * service a little later than others. */
+    /* No node may leave the load balancer, although some nodes had their last response from the
+     * state service a little later than others. */
     for (guint i = 0; i < 36; i++) {
       g_assert_cmpuint (sim_request (i % 3, "GET", "/ready", NULL), ==, 200);
       sim_run (0.3);
@@ -163,7 +162,7 @@
     sim_state_outage (FALSE);
     sim_run (7.4);
   }
-  /* A node that starts during an outage has had no answer yet and must tell its peers so. They
+  /* A node that starts during an outage has had no response yet and must tell its peers so. They
    * would otherwise conclude that the state service answers it, and leave the load balancer. */
   sim_state_outage (TRUE);
   sim_run (3.5);
@@ -180,11 +179,12 @@
 static void
 test_state_outage (void)
 {
-  /* The seed decides when each node had its last answer from the state service. */
+  /* The seed decides when each node had its last response from the state service. */
   with_seeds (state_outage);
 }
 
-/* The state service answers slowly, also during takeovers, and its answers arrive out of order. */
+/* The state service responds slowly, also during takeovers, and its responses arrive out of order.
+ */
 static void
 test_state_slow (void)
 {
@@ -221,7 +221,7 @@
   finish_and_check (400);
 }
 
-/* The nodes crash one after the other, each back after 0.2 s. */
+/* The nodes crash one after the other, and each of them restarts after 0.2 s. */
 static void
 test_restart_at_once (void)
 {
@@ -237,7 +237,7 @@
   finish_and_check (300);
 }
 
-/* All nodes crash at once and are back 20 s later, after their keys have expired. */
+/* All nodes crash at once and restart 20 s later, after their keys have expired. */
 static void
 test_all_crash (void)
 {
@@ -350,12 +350,12 @@
 static guint
 reported_cancelled_count (void)
 {
-  guint n = 0;
+  guint count = 0;
   for (guint i = 1; i <= 3; i++) {
     g_autofree char *id = g_strdup_printf ("wk-00000%u", i);
-    n += g_str_equal (sim_reported_state (id), "cancelled");
+    count += g_str_equal (sim_reported_state (id), "cancelled");
   }
-  return n;
+  return count;
 }
 
 static void
@@ -522,7 +522,7 @@
   finish_and_check (60);
 }
 
-/* When the kill arrives, the machine is paused (fault 0), opens no connections (1) or receives
+/* When the kill arrives, the machine is paused (fault 0), sends no reports (1) or receives
  * nothing (2), for less or for more than its lease. Its tasks must end in time, and tasks that
  * still wait for their image must not start once their user was told of the cancellation. */
 static void
@@ -592,7 +592,7 @@
 
 /* Unconfirmed attempts count toward the team's quota, also on a machine that falls silent just when
  * it is given work. In each round, one node's link to the busiest machine drops or holds the
- * answers to reports, which carry the run orders. */
+ * responses to reports, which carry the run orders. */
 static void
 test_quota_with_unconfirmed_attempts (void)
 {
@@ -607,7 +607,7 @@
       continue;
     g_autofree char *id = g_strdup (machine);
     char node[] = { 'n', (char) ('0' + i % 3), 0 };
-    /* Answers to the machine are lost or held; its reports still arrive. */
+    /* Responses to the machine are lost or held; its reports still arrive. */
     sim_set_link (node, id, i % 2 ? SIM_LINK_DROP : SIM_LINK_HOLD);
     sim_run (3);
     sim_set_link (node, id, SIM_LINK_UP);
@@ -626,9 +626,9 @@
   finish_and_check (300);
 }
 
-/* A machine that has come up gets its first tasks in the answer to its first report, not a whole
- * report period later: the owner holds that answer until the record that marks the machine as used
- * is written. */
+/* A machine that has come up gets its first tasks in the response to its first report, not a
+ * whole report period later: the owner holds that response until the record that marks the machine
+ * as used is written. */
 static void
 test_first_report (void)
 {
@@ -753,7 +753,7 @@
   sim_stop ();
 }
 
-/* A machine's reports arrive, but neither answers nor commands reach it. Its tasks must run
+/* A machine's reports arrive, but neither responses nor commands reach it. Its tasks must run
  * elsewhere once its lease is over, and the owner must not go on sending it run orders. */
 static void
 test_machine_receives_nothing (void)
@@ -775,7 +775,7 @@
   finish_and_check (300);
 }
 
-/* Duplicates of reports arrive late, up to several leases after the original, also after restarts
+/* Duplicates of reports arrive up to a minute (five leases) after the original, also after restarts
  * and at nodes that no longer own the shard. */
 static void
 test_late_duplicate_reports (void)
@@ -997,8 +997,8 @@
   sim_run (50);
   g_assert_cmpuint (sim_machine_count (), >, 1900);
   g_assert_cmpuint (sim_tasks_running (NULL), >, 5000);
-  /* All machines are up: handling a report, with its completions and the run orders in the answer,
-   * must not iterate over the other machines. */
+  /* All machines are up: handling a report, with its completions and the run orders in the
+   * response, must not iterate over the other machines. */
   guint64 steps, steps_before;
   guint started_before = sim_tasks_started (), reports_before = sim_reports_handled (&steps_before);
   sim_run (20);
@@ -1026,16 +1026,17 @@
   start_cluster (&default_options);
   submit_jobs (60, 8);
   for (guint i = 0; i < 25; i++) {
-    guint n = (guint) g_rand_int_range (rng, 0, 3);
-    char node[] = { 'n', (char) ('0' + n), 0 }, other[] = { 'n', (char) ('0' + (n + 1) % 3), 0 };
+    guint node_index = (guint) g_rand_int_range (rng, 0, 3);
+    char node[] = { 'n', (char) ('0' + node_index), 0 },
+         other[] = { 'n', (char) ('0' + (node_index + 1) % 3), 0 };
     const char *machine = sim_busiest_machine ();
     g_autofree char *id = g_strdup (machine ? machine : "host-000000");
     SimLinkState link_state = g_rand_boolean (rng) ? SIM_LINK_HOLD : SIM_LINK_DROP;
     switch (g_rand_int_range (rng, 0, 6)) {
     case 0:
-      sim_node_kill (n);
+      sim_node_kill (node_index);
       sim_run (g_rand_double_range (rng, 0.1, 6));
-      sim_node_start (n);
+      sim_node_start (node_index);
       break;
     case 1:
       sim_set_link_both (node, "state", link_state);
@@ -1079,7 +1080,7 @@
   g_test_add_func ("/service/takeover-with-owner-alive", test_takeover_with_owner_alive);
   g_test_add_func ("/service/owner-reaches-only-workers", test_owner_reaches_only_workers);
   g_test_add_func ("/service/delayed-messages", test_delayed_messages);
-  g_test_add_func ("/service/lost-commit-answers", test_lost_commit_answers);
+  g_test_add_func ("/service/lost-commit-responses", test_lost_commit_responses);
   g_test_add_func ("/service/state-outage", test_state_outage);
   g_test_add_func ("/service/state-slow", test_state_slow);
   g_test_add_func ("/service/state-refuses-one-node", test_state_refuses_one_node);
