--- a/src/api.c
+++ b/src/api.c
@@ -135,9 +135,10 @@
   reply (call, 503, kr_wire_error ("the cancellation is not confirmed yet"), KR_RETRY_AFTER_S);
 }
 
-/* Whether an answer would come too late to be given. A process that was stalled after its read
- * would otherwise answer with an older state than another node has answered meanwhile. Answers
- * from the cache of final states need no such check, as these do not change. */
+/* Whether the call has exceeded its deadline by more than KR_USER_STALE_MS, so that what it has
+ * read must not be given to the user. A process that was stalled after its read would otherwise
+ * answer with an older state than another node has answered meanwhile. Answers from the cache of
+ * final states need no such check, as these states do not change. */
 static gboolean
 is_stale (ApiCall *call)
 {
@@ -151,7 +152,9 @@
   return (guint) CLAMP (ms, 1, limit_ms);
 }
 
-/* --- job lookup: the live key first, then the final key. Jobs only move in this order. */
+/* --- job lookup ---------------------------------------------------------------------- */
+/* Reads the live key first and then the final key. A job that moves meanwhile is not missed, since
+ * jobs only move from the live key to the final key. */
 static void lookup_job (ApiCall *call, LookupFunc on_lookup);
 static void lookup_final_state (ApiCall *call);
 
@@ -288,7 +291,9 @@
         remaining_ms (call, KR_CANCEL_CONFIRM_TIMEOUT_MS), call->api->cancel, owner_answered, call);
 }
 
-/* Answers from the stored state of a job. The live counts of an owned shard are newer. */
+/* Answers from the stored state of a job. The owner must first confirm the cancellation of a
+ * cancelled job. If this node owns the job's shard, the counts in memory are newer than the stored
+ * ones and are used instead. */
 static void
 reply_job (ApiCall *call, const KrStoredJob *stored_job)
 {
