--- a/src/api.h
+++ b/src/api.h
@@ -1,5 +1,5 @@
-/* The users' API: submits, polls and cancels jobs. Any node answers any request from the state of
- * the state service, with 503 where that state cannot be read. */
+/* The users' API: submits, polls and cancels jobs. Any node answers any request from the data in
+ * the state service. The answer is 503 if that data cannot be read. */
 #pragma once
 #include "http-server.h"
 #include "node.h"
