--- a/src/http-client.h
+++ b/src/http-client.h
@@ -16,7 +16,9 @@
 /* Aborts the calls in progress. The callbacks of all calls are still called. */
 void kr_http_client_free (KrHttpClient *client);
 /* Takes over `body`, which may be NULL. `callback` is called exactly once, never before this
- * function returns, also if the call is cancelled, and at the latest after `timeout_ms`. */
+ * function returns, also if the call is cancelled, and at the latest after `timeout_ms`,
+ * which includes the time in the client's queue. This does not depend on libsoup reporting the end
+ * of the call. */
 void kr_http_client_call (KrHttpClient *client, const char *method, const char *host,
                           const char *path, json_t *body, guint timeout_ms, GCancellable *cancel,
                           KrHttpResponseFunc callback, gpointer data);
