--- a/src/job-view.h
+++ b/src/job-view.h
@@ -13,7 +13,8 @@
   guint done, running;
   gboolean cancelled;
   guint shard;
-  guint64 owner, revision; /* of a cancelled job: see kr_shard_cancel_job */
+  guint64 owner;    /* revision of the owner key that the cancellation names; 0: none */
+  guint64 revision; /* of the job's key; for both see kr_shard_cancel_job() */
 } KrStoredJob;
 
 KrJobView *kr_job_view_new (KrStateClient *state, GCancellable *cancel);
