--- a/src/machine-records.c
+++ b/src/machine-records.c
@@ -80,9 +80,9 @@
 find_in_chunk (const KrMachineRecords *records, guint shard, guint chunk, const char *id)
 {
   const Chunk *known = known_chunk (records, shard, chunk);
-  json_t *o = known ? json_object_get (known->machines, id) : NULL;
-  const char *address = json_string_value (o);
-  return o && !address ? "" : address;
+  json_t *entry = known ? json_object_get (known->machines, id) : NULL;
+  const char *address = json_string_value (entry);
+  return entry && !address ? "" : address;
 }
 
 /* Whether the machine belongs to the chunk of `a`, if the chunks of `a` and `b` both hold it. */
@@ -152,7 +152,7 @@
 {
   g_autofree gboolean *shard_gained = g_new0 (gboolean, records->settings->shard_count);
   const char *id;
-  json_t *o;
+  json_t *entry;
 
   if (chunk >= records->shards[shard]->len)
     g_array_set_size (records->shards[shard], chunk + 1);
@@ -162,15 +162,16 @@
   json_t *old_machines = known->machines;
   known->machines = json_incref (machines);
   known->revision = revision;
-  json_object_foreach (machines, id, o)
+  json_object_foreach (machines, id, entry)
   {
     const KrMachineRecord found = { shard, chunk,
-                                    json_string_value (o) ? json_string_value (o) : "", revision };
+                                    json_string_value (entry) ? json_string_value (entry) : "",
+                                    revision };
     apply_entry (records, id, &found);
   }
   /* Removals follow the additions: the new entry of a machine that was moved has been applied by
    * now, or will be. */
-  json_object_foreach (old_machines, id, o)
+  json_object_foreach (old_machines, id, entry)
   {
     const KrMachineRecord *record =
         json_object_get (machines, id) ? NULL : kr_machine_records_find (records, id);
@@ -223,10 +224,10 @@
 void
 kr_machine_records_foreach_all (KrMachineRecords *records, KrMachineRecordFunc func, gpointer data)
 {
-  GHashTableIter it;
+  GHashTableIter iter;
   gpointer id, value;
-  g_hash_table_iter_init (&it, records->index);
-  while (g_hash_table_iter_next (&it, &id, &value))
+  g_hash_table_iter_init (&iter, records->index);
+  while (g_hash_table_iter_next (&iter, &id, &value))
     func (id, value, data);
 }
 
@@ -236,8 +237,8 @@
 {
   for (guint chunk = 0; chunk < records->shards[shard]->len; chunk++) {
     const char *id;
-    json_t *o;
-    json_object_foreach (g_array_index (records->shards[shard], Chunk, chunk).machines, id, o)
+    json_t *entry;
+    json_object_foreach (g_array_index (records->shards[shard], Chunk, chunk).machines, id, entry)
     {
       const KrMachineRecord *record = kr_machine_records_find (records, id);
       if (record && record->shard == shard)
@@ -252,8 +253,8 @@
 {
   for (guint chunk = 0; chunk < records->shards[shard]->len; chunk++) {
     const char *id;
-    json_t *o;
-    json_object_foreach (g_array_index (records->shards[shard], Chunk, chunk).machines, id, o)
+    json_t *entry;
+    json_object_foreach (g_array_index (records->shards[shard], Chunk, chunk).machines, id, entry)
     {
       const KrMachineRecord *record = kr_machine_records_find (records, id);
       if (record && (record->shard != shard || record->chunk != chunk))
