--- a/src/machine-records.h
+++ b/src/machine-records.h
@@ -1,8 +1,8 @@
 /* Machine records: which machines belong to which shard, as stored in the state service below
- * c/berths/. A shard's machines are split into chunks of a limited number of machines, one key
- * each, so that no value grows with the deployment. A machine's entry is its address once the
- * machine is used (a task may have been started there), else "". This module does no I/O: it keeps
- * the contents of the stored keys and builds changes of them. */
+ * c/berths/. A shard's machines are split into chunks of at most KR_RECORD_CHUNK_MACHINES
+ * machines, one key each, so that no value grows with the deployment. A machine's entry is its
+ * address once the machine is used (a task may have been started there), else "". This module does
+ * no I/O: it keeps the contents of the stored keys and builds changes of them. */
 #pragma once
 #include "settings.h"
 #include "wire.h"
@@ -71,7 +71,7 @@
 /* Writes the machine's chunk unchanged. Any other transaction that expects the chunk's present
  * revision then fails. */
 void kr_record_update_touch (KrRecordUpdate *update, const char *machine);
-/* The same for a chunk that still has the revision of `version`. */
+/* The same for the chunk of `version`, which must still be known at that revision. */
 void kr_record_update_touch_chunk (KrRecordUpdate *update, const KrChunkVersion *version);
 /* Removes a machine's duplicate entries from a shard's chunks, on condition that the chunk to which
  * the machine belongs has not changed. */
