--- a/src/membership.c
+++ b/src/membership.c
@@ -301,13 +301,13 @@
 {
   guint shard_count = membership->settings->shard_count;
   g_autofree gboolean *found = g_new0 (gboolean, shard_count + 1);
-  json_t *o;
+  json_t *entry;
   size_t i;
 
-  json_array_foreach (items, i, o)
+  json_array_foreach (items, i, entry)
   {
     KrKeyValue item;
-    if (!kr_wire_key_value_parse (o, &item) || !is_holder_key (item.key))
+    if (!kr_wire_key_value_parse (entry, &item) || !is_holder_key (item.key))
       continue;
     for (guint key_index = 0; key_index <= shard_count; key_index++) {
       g_autofree char *key = holder_key (membership, key_index);
@@ -322,24 +322,26 @@
 }
 
 /* The list is sorted by key, so machine records come before owners. The holder keys are applied
- * first nevertheless: a former owner would otherwise take its successor's changes of the machine
- * records for unexpected changes of its own, and delete a machine that it no longer owns. */
+ * first nevertheless: a former owner that does not know yet that it lost the shard would otherwise
+ * treat its successor's changes of the machine records as unexpected changes of its own records,
+ * and delete a machine that it no longer owns. */
 static void
 on_listed (json_t *items, guint64 revision, gpointer data)
 {
   KrMembership *membership = data;
   g_autoptr (GHashTable) nodes = g_hash_table_new (g_str_hash, g_str_equal);
-  guint relist_count = membership->relist_count; /* applying the list may request another one */
-  json_t *o;
+  /* membership->relist_count changes if applying this list requests a new one. */
+  guint relist_count = membership->relist_count;
+  json_t *entry;
   size_t i;
 
   kr_info ("state: membership listed, %zu keys, revision %" G_GUINT64_FORMAT,
            json_array_size (items), revision);
   apply_listed_holders (membership, items, revision);
-  json_array_foreach (items, i, o)
+  json_array_foreach (items, i, entry)
   {
     KrKeyValue item;
-    if (!kr_wire_key_value_parse (o, &item) || is_holder_key (item.key))
+    if (!kr_wire_key_value_parse (entry, &item) || is_holder_key (item.key))
       continue;
     if (g_str_has_prefix (item.key, "c/node/"))
       g_hash_table_add (nodes, (char *) item.key + strlen ("c/node/"));
@@ -382,7 +384,8 @@
   g_free (change);
 }
 
-/* Writes the holder key, if it still is as last seen: free, or held by this node. */
+/* Writes the holder key if it is still as last seen: free, or held by this or an earlier
+ * incarnation of this node. */
 static void
 acquire (KrMembership *membership, guint key_index)
 {
