--- a/src/membership.h
+++ b/src/membership.h
@@ -24,6 +24,8 @@
 
 typedef struct KrMembership KrMembership;
 typedef struct {
+  /* The shard's owner key was written or deleted, or this node no longer holds the key because of a
+   * process stall. */
   void (*holder_changed) (guint shard, gpointer data);
   /* A shard's owner has stored its summary in the state service. */
   void (*summary_stored) (guint shard, json_t *value, gpointer data);
@@ -31,7 +33,7 @@
   void (*relisted) (gpointer data);
 } KrMembershipEvents;
 
-/* Starts to watch c/ and to request a lease. */
+/* Starts watching c/ and requests a lease. */
 KrMembership *kr_membership_new (const KrSettings *settings, KrStateClient *state,
                                  KrMachineRecords *records, GCancellable *cancel,
                                  const KrMembershipEvents *events, gpointer data);
@@ -40,6 +42,8 @@
 
 /* TRUE once c/ was listed, since the start or since the last process stall. */
 gboolean kr_membership_is_synced (KrMembership *membership);
+/* The holders and owner histories that these functions return belong to the membership, which
+ * updates them in place. */
 const KrHolder *kr_membership_holder (KrMembership *membership, guint shard);
 /* TRUE if this incarnation of this node owns the shard. */
 gboolean kr_membership_owns (KrMembership *membership, guint shard);
