--- a/src/node.c
+++ b/src/node.c
@@ -25,8 +25,8 @@
 }
 
 /* --- shares of the rate limits -------------------------------------------------------- */
-/* Returns the number of shards that have jobs. Teams are assigned to shards in turn, so with fewer
- * teams than shards only the first shards have a team. */
+/* Returns the number of shards that have a team, and so may have jobs. Teams are assigned to shards
+ * in turn: with fewer teams than shards, only the first shards have a team. */
 static guint
 shards_with_teams (const KrNode *node)
 {
