--- a/src/rate-limiter.h
+++ b/src/rate-limiter.h
@@ -10,9 +10,10 @@
 typedef struct KrRateLimiter KrRateLimiter;
 /* granted: TRUE if the cost was spent; FALSE if the queue was full. */
 typedef void (*KrRateLimiterFunc) (gboolean granted, gpointer data);
-/* `rate`: cost that may be spent a second; `burst_s`: seconds of unused rate that add up, with room
- * for a cost of at least 1. */
+/* `rate`: cost that may be spent per second. The bucket holds the unused rate of at most `burst_s`
+ * seconds, but always at least a cost of 1. */
 KrRateLimiter *kr_rate_limiter_new (double rate, double burst_s);
+/* Drops the queued calls; their functions are not called. */
 void kr_rate_limiter_free (KrRateLimiter *limiter);
 /* Changes the rate, e.g. because the node's load has changed. Queued calls are served at the new
  * rate. */
