--- a/src/settings.c
+++ b/src/settings.c
@@ -6,26 +6,26 @@
 G_DEFINE_QUARK (kr - settings - error, kr_settings_error)
 
 static void
-team_free (gpointer p)
+team_free (gpointer data)
 {
-  KrTeam *team = p;
+  KrTeam *team = data;
   g_free (team->name);
   g_free (team);
 }
 
 static void
-objective_free (gpointer p)
+objective_free (gpointer data)
 {
-  KrObjective *objective = p;
+  KrObjective *objective = data;
   g_free (objective->kind);
   g_free (objective->job_class);
   g_free (objective);
 }
 
 static void
-peer_free (gpointer p)
+peer_free (gpointer data)
 {
-  KrPeerSettings *peer = p;
+  KrPeerSettings *peer = data;
   g_free (peer->name);
   g_free (peer->zone);
   g_free (peer->addr);
