--- a/src/settings.h
+++ b/src/settings.h
@@ -29,22 +29,22 @@
    * service. */
   char *client_listen, *internal_addr, *cloud, *state;
   GPtrArray *peers;      /* KrPeerSettings: the other nodes */
-  GPtrArray *node_names; /* sorted; the index of a node is the index of its home shard */
+  GPtrArray *node_names; /* sorted; the node at index i has home shard i, if there is one */
   guint self_index;      /* of this node in node_names */
   guint shard_count;     /* setting `size` */
   GPtrArray *teams;      /* KrTeam */
   GPtrArray *objectives; /* KrObjective */
-  double clock_error_s;
+  double clock_error_s;  /* not used */
   double report_interval_s, worker_lease_s;
   double cancel_limit_s; /* time within which the tasks of a cancelled job must end */
   /* Limits of the state service, for all nodes together: requests a second, puts and removes a
-   * second, size of a value, and puts and removes in a transaction. */
+   * second, size of a value (in KiB), and puts and removes in a transaction. */
   double state_rps, state_write_rps, state_value_kb;
   guint state_txn_ops;
-  double cloud_rps;        /* requests a second, for all nodes together */
-  double cloud_list_lag_s; /* lag of the cloud's machine list */
-  double core_share, ram_mb;
-  guint sockets;
+  double cloud_rps;          /* requests a second, for all nodes together */
+  double cloud_list_lag_s;   /* lag of the cloud's machine list */
+  double core_share, ram_mb; /* not used */
+  guint sockets; /* limit of open sockets; shared out among users' and workers' connections */
 } KrSettings;
 
 #define KR_SETTINGS_ERROR (kr_settings_error_quark ())
@@ -65,11 +65,11 @@
 /* Returns the shard of a team. The teams are assigned to the shards round-robin, in the order of
  * the settings file. */
 guint kr_settings_shard_of_team (const KrSettings *settings, const char *name);
-/* Returns the time from its submission within which a job of the class should finish, by its
- * objective or by default. */
+/* Returns the time, in seconds from its submission, within which a job of the class should finish,
+ * by the class's objective or by default. */
 double kr_settings_finish_goal_s (const KrSettings *settings, const char *job_class);
-/* Returns the time from its submission within which tasks of a job of the class should start, by
- * its objective or by default. */
+/* Returns the time, in seconds from its submission, within which the tasks of a job of the class
+ * should start, by the class's objective or by default. */
 double kr_settings_start_goal_s (const KrSettings *settings, const char *job_class);
 
 /* Reads a TOML file into a JSON tree (settings_toml.cpp). Returns NULL and sets *message, which the
