--- a/src/state-client.c
+++ b/src/state-client.c
@@ -151,6 +151,7 @@
                        request_done, request);
 }
 
+/* The rate limiter for writes has granted the request. The rate limiter for requests comes next. */
 static void
 request_acquire (gboolean granted, gpointer data)
 {
@@ -325,16 +326,16 @@
 static void
 handle_watch_events (KrWatch *watch, json_t *body)
 {
-  json_t *a = kr_wire_watch_events (body), *o;
+  json_t *events = kr_wire_watch_events (body), *event;
   size_t i;
   guint64 revision = kr_wire_revision (body);
 
   if (revision > watch->revision)
     watch->revision = revision;
-  json_array_foreach (a, i, o)
+  json_array_foreach (events, i, event)
   {
     KrKeyValue item;
-    if (kr_wire_watch_event_parse (o, &item))
+    if (kr_wire_watch_event_parse (event, &item))
       watch->on_event (&item, watch->data);
     if (!watch->listed) /* the callback has called kr_watch_relist() or kr_watch_stop() */
       return;
