--- a/src/state-client.h
+++ b/src/state-client.h
@@ -13,11 +13,13 @@
 
 /* All calls pass an HTTP status to `reply`. 429: refused by this node's rate limit or by the
  * service, not executed; 0: the outcome is unknown. `timeout_ms` counts from the moment at which
- * the call is sent. Before that the call waits for the rate limit, for at most
- * KR_LIMITER_WAIT_MAX_MS, or `timeout_ms` in class KR_QUEUE_LOW. */
+ * the call is sent. Before that, the call waits for the rate limit, for at most
+ * KR_LIMITER_WAIT_MAX_MS, or `timeout_ms` in class KR_QUEUE_LOW. If the rate limiter's queue is
+ * full, `reply` is called with 429 before the function returns. */
 void kr_state_get (KrStateClient *state, const char *key, KrQueueClass queue_class,
                    guint timeout_ms, GCancellable *cancel, KrHttpResponseFunc reply, gpointer data);
-/* Reads all changes below a prefix after the revision `after` up to the execution of the call. */
+/* Reads all changes of keys below a prefix that were made after the revision `after` and before the
+ * service executes the call. */
 void kr_state_changes (KrStateClient *state, const char *prefix, guint64 after, guint timeout_ms,
                        GCancellable *cancel, KrHttpResponseFunc reply, gpointer data);
 /* Takes ownership of `txn`. */
