--- a/src/wire.c
+++ b/src/wire.c
@@ -409,29 +409,29 @@
 GPtrArray *
 kr_wire_types_parse (json_t *body)
 {
-  json_t *array = json_object_get (body, "Hulls"), *o, *zone;
-  size_t i, k;
+  json_t *array = json_object_get (body, "Hulls"), *item, *zone;
+  size_t i, j;
   if (!json_is_array (array))
     return NULL;
   g_autoptr (GPtrArray) types = g_ptr_array_new_with_free_func (kr_machine_type_free);
-  json_array_foreach (array, i, o)
+  json_array_foreach (array, i, item)
   {
-    json_t *zones = json_object_get (o, "Harbors");
-    if (!get_string (o, "Name") || !json_is_array (zones))
+    json_t *zones = json_object_get (item, "Harbors");
+    if (!get_string (item, "Name") || !json_is_array (zones))
       return NULL;
     KrMachineType *type = g_new0 (KrMachineType, 1);
     g_ptr_array_add (types, type);
-    type->name = g_strdup (get_string (o, "Name"));
-    type->cpus = get_number (o, "Cores");
-    type->gpus = get_number (o, "Accelerators");
-    type->mem_gb = get_number (o, "MemGb");
-    type->cache_gb = get_number (o, "CacheGb");
-    type->image_pull_gb_per_s = get_number (o, "PullGbPerS");
-    type->price = get_number (o, "Rate");
-    type->spot_price = get_number (o, "MarketPrice");
-    type->boot_s = get_number (o, "ReadyS");
+    type->name = g_strdup (get_string (item, "Name"));
+    type->cpus = get_number (item, "Cores");
+    type->gpus = get_number (item, "Accelerators");
+    type->mem_gb = get_number (item, "MemGb");
+    type->cache_gb = get_number (item, "CacheGb");
+    type->image_pull_gb_per_s = get_number (item, "PullGbPerS");
+    type->price = get_number (item, "Rate");
+    type->spot_price = get_number (item, "MarketPrice");
+    type->boot_s = get_number (item, "ReadyS");
     type->zones = g_new0 (char *, json_array_size (zones) + 1);
-    json_array_foreach (zones, k, zone) type->zones[k] = g_strdup (json_string_value (zone));
+    json_array_foreach (zones, j, zone) type->zones[j] = g_strdup (json_string_value (zone));
   }
   return g_steal_pointer (&types);
 }
@@ -487,26 +487,26 @@
 gboolean
 kr_wire_machine_list_parse (json_t *body, GPtrArray *out, gboolean *more)
 {
-  json_t *machines = json_object_get (body, "Berths"), *o;
+  json_t *machines = json_object_get (body, "Berths"), *item;
   size_t i;
   if (!json_is_array (machines))
     return FALSE;
-  json_array_foreach (machines, i, o)
+  json_array_foreach (machines, i, item)
   {
-    if (!get_string (o, "Id") || !get_string (o, "Hull") || !get_string (o, "Harbor"))
+    if (!get_string (item, "Id") || !get_string (item, "Hull") || !get_string (item, "Harbor"))
       return FALSE;
-    const char *state = get_string (o, "Bearing");
+    const char *state = get_string (item, "Bearing");
     KrListedMachine *listed = g_new0 (KrListedMachine, 1);
     g_ptr_array_add (out, listed);
-    listed->id = g_strdup (get_string (o, "Id"));
-    listed->endpoint = g_strdup (get_string (o, "Endpoint"));
-    listed->type = g_strdup (get_string (o, "Hull"));
-    listed->zone = g_strdup (get_string (o, "Harbor"));
-    listed->spot = get_bool (o, "Driftwood");
+    listed->id = g_strdup (get_string (item, "Id"));
+    listed->endpoint = g_strdup (get_string (item, "Endpoint"));
+    listed->type = g_strdup (get_string (item, "Hull"));
+    listed->zone = g_strdup (get_string (item, "Harbor"));
+    listed->spot = get_bool (item, "Driftwood");
     listed->state = g_strcmp0 (state, "starting") == 0 ? KR_MACHINE_STARTING
                     : g_strcmp0 (state, "failed") == 0 ? KR_MACHINE_FAILED
                                                        : KR_MACHINE_RUNNING;
-    listed->age_s = get_number (o, "HeldS");
+    listed->age_s = get_number (item, "HeldS");
   }
   *more = get_bool (body, "More");
   return TRUE;
