--- a/src/wire.h
+++ b/src/wire.h
@@ -29,7 +29,7 @@
   guint tasks;
   double cpus, gpus, mem_gb, image_gb;
   gboolean one_zone;     /* all tasks run in the same zone */
-  gboolean spread_zones; /* at most half of the tasks run in the same zone */
+  gboolean spread_zones; /* at most half of the tasks (rounded up) run in the same zone */
   gboolean spot_allowed; /* tasks may run on spot machines */
   double run_estimate_s; /* the user's estimate of a task's run time */
   double checkpoint_interval_s;
