--- a/src/node.c
+++ b/src/node.c
@@ -197,8 +197,8 @@
   if (shard < 0 && held_by_this_node)
     kr_provisioner_unassigned_reported (node->provisioner, report);
   /* While only this node cannot reach the state service, its knowledge of the owner may be
-   * outdated. Redirected by it, a worker would go back and forth between this node and an owner
-   * that is gone. */
+   * outdated. If this node redirected a worker on that basis, the worker would go back and forth
+   * between this node and an owner that is gone. */
   gboolean names_owner = !held_by_this_node && !node->state_unreachable;
   kr_request_reply (request, 421, kr_wire_redirect (names_owner ? holder->node : NULL), 0);
 }
