--- a/src/wire.h
+++ b/src/wire.h
@@ -177,7 +177,7 @@
 KrTxn *kr_txn_new (void);
 void kr_txn_free (KrTxn *txn);
 G_DEFINE_AUTOPTR_CLEANUP_FUNC (KrTxn, kr_txn_free)
-/* Lets the transaction fail unless `key` has this revision. 0: the key does not exist. */
+/* Makes the transaction fail unless `key` has this revision; 0: unless the key does not exist. */
 void kr_txn_expect_revision (KrTxn *txn, const char *key, guint64 revision);
 /* Takes over `value`. The key is removed when `lease` ends. 0: no lease. */
 void kr_txn_put (KrTxn *txn, const char *key, json_t *value, guint64 lease);
