--- a/src/state-client.c
+++ b/src/state-client.c
@@ -19,7 +19,7 @@
   KrQueueClass queue_class;
   guint timeout_ms;
   GCancellable *cancel;
-  KrHttpResponseFunc reply;
+  KrHttpResponseFunc callback;
   gpointer data;
   KrRateLimiter *limiter; /* the rate limiter in whose queue the request waits */
   guint timer;            /* ends the wait for the rate limiters */
@@ -114,14 +114,14 @@
     request->state->answered_at = kr_now ();
   else if (!request->cancel || !g_cancellable_is_cancelled (request->cancel))
     request->state->failed_at = kr_now ();
-  request->reply (status, body, request->data);
+  request->callback (status, body, request->data);
   request_free (request);
 }
 
 static void
 request_refuse (Request *request)
 {
-  request->reply (429, NULL, request->data);
+  request->callback (429, NULL, request->data);
   request_free (request);
 }
 
@@ -166,7 +166,7 @@
 static void
 request_start (KrStateClient *state, const char *method, char *path, json_t *body,
                double write_count, KrQueueClass queue_class, guint timeout_ms, GCancellable *cancel,
-               KrHttpResponseFunc reply, gpointer data)
+               KrHttpResponseFunc callback, gpointer data)
 {
   Request *request = g_new0 (Request, 1);
   *request = (Request){ .state = state,
@@ -176,7 +176,7 @@
                         .queue_class = queue_class,
                         .timeout_ms = timeout_ms,
                         .cancel = cancel ? g_object_ref (cancel) : NULL,
-                        .reply = reply,
+                        .callback = callback,
                         .data = data,
                         .limiter = state->write_limiter };
   request->timer = kr_timer_add (queue_class == KR_QUEUE_LOW ? timeout_ms : KR_LIMITER_WAIT_MAX_MS,
@@ -189,44 +189,45 @@
 
 void
 kr_state_get (KrStateClient *state, const char *key, KrQueueClass queue_class, guint timeout_ms,
-              GCancellable *cancel, KrHttpResponseFunc reply, gpointer data)
+              GCancellable *cancel, KrHttpResponseFunc callback, gpointer data)
 {
   request_start (state, "GET", kr_wire_key_path (key), NULL, 0, queue_class, timeout_ms, cancel,
-                 reply, data);
+                 callback, data);
 }
 
 void
 kr_state_changes (KrStateClient *state, const char *prefix, guint64 after, guint timeout_ms,
-                  GCancellable *cancel, KrHttpResponseFunc reply, gpointer data)
+                  GCancellable *cancel, KrHttpResponseFunc callback, gpointer data)
 {
   request_start (state, "GET", kr_wire_watch_path (prefix, after, 0), NULL, 0, KR_QUEUE_NORMAL,
-                 timeout_ms, cancel, reply, data);
+                 timeout_ms, cancel, callback, data);
 }
 
 void
 kr_state_commit (KrStateClient *state, KrTxn *txn, KrQueueClass queue_class, guint timeout_ms,
-                 GCancellable *cancel, KrHttpResponseFunc reply, gpointer data)
+                 GCancellable *cancel, KrHttpResponseFunc callback, gpointer data)
 {
   request_start (state, "POST", g_strdup (KR_PATH_COMMIT), kr_txn_to_json (txn),
-                 kr_txn_write_count (txn), queue_class, timeout_ms, cancel, reply, data);
+                 kr_txn_write_count (txn), queue_class, timeout_ms, cancel, callback, data);
   kr_txn_free (txn);
 }
 
 void
 kr_state_grant_or_renew_lease (KrStateClient *state, guint64 lease, guint ttl_ms,
-                               GCancellable *cancel, KrHttpResponseFunc reply, gpointer data)
+                               GCancellable *cancel, KrHttpResponseFunc callback, gpointer data)
 {
-  request_start (
-      state, "POST", lease ? kr_wire_lease_extend_path (lease) : g_strdup (KR_PATH_LEASES),
-      kr_wire_lease_request (ttl_ms), 0, KR_QUEUE_HIGH, KR_STATE_TIMEOUT_MS, cancel, reply, data);
+  request_start (state, "POST",
+                 lease ? kr_wire_lease_extend_path (lease) : g_strdup (KR_PATH_LEASES),
+                 kr_wire_lease_request (ttl_ms), 0, KR_QUEUE_HIGH, KR_STATE_TIMEOUT_MS, cancel,
+                 callback, data);
 }
 
 void
 kr_state_revoke_lease (KrStateClient *state, guint64 lease, GCancellable *cancel,
-                       KrHttpResponseFunc reply, gpointer data)
+                       KrHttpResponseFunc callback, gpointer data)
 {
   request_start (state, "DELETE", kr_wire_lease_path (lease), NULL, 0, KR_QUEUE_HIGH,
-                 KR_STATE_TIMEOUT_MS, cancel, reply, data);
+                 KR_STATE_TIMEOUT_MS, cancel, callback, data);
 }
 
 /* --- watch --------------------------------------------------------------------------- */
--- a/src/state-client.h
+++ b/src/state-client.h
@@ -11,27 +11,29 @@
 KrStateClient *kr_state_new (const KrSettings *settings);
 void kr_state_free (KrStateClient *state);
 
-/* All calls pass an HTTP status to `reply`. 429: refused by this node's rate limit or by the
+/* All calls pass an HTTP status to `callback`. 429: refused by this node's rate limit or by the
  * service, not executed; 0: the outcome is unknown. `timeout_ms` counts from the moment at which
  * the call is sent. Before that, the call waits for the rate limit, for at most
  * KR_LIMITER_WAIT_MAX_MS, or `timeout_ms` in class KR_QUEUE_LOW. If the rate limiter's queue is
- * full, `reply` is called with 429 before the function returns. */
+ * full, `callback` is called with 429 before the function returns. */
 void kr_state_get (KrStateClient *state, const char *key, KrQueueClass queue_class,
-                   guint timeout_ms, GCancellable *cancel, KrHttpResponseFunc reply, gpointer data);
+                   guint timeout_ms, GCancellable *cancel, KrHttpResponseFunc callback,
+                   gpointer data);
 /* Reads all changes of keys below a prefix that were made after the revision `after` and before the
  * service executes the call. */
 void kr_state_changes (KrStateClient *state, const char *prefix, guint64 after, guint timeout_ms,
-                       GCancellable *cancel, KrHttpResponseFunc reply, gpointer data);
+                       GCancellable *cancel, KrHttpResponseFunc callback, gpointer data);
 /* Takes ownership of `txn`. */
 void kr_state_commit (KrStateClient *state, KrTxn *txn, KrQueueClass queue_class, guint timeout_ms,
-                      GCancellable *cancel, KrHttpResponseFunc reply, gpointer data);
+                      GCancellable *cancel, KrHttpResponseFunc callback, gpointer data);
 /* Renews a lease, or requests a new one if `lease` is 0. */
 void kr_state_grant_or_renew_lease (KrStateClient *state, guint64 lease, guint ttl_ms,
-                                    GCancellable *cancel, KrHttpResponseFunc reply, gpointer data);
+                                    GCancellable *cancel, KrHttpResponseFunc callback,
+                                    gpointer data);
 /* Ends a lease at once, whichever node holds it; all keys bound to it are deleted. 404: the lease
  * had ended before. */
 void kr_state_revoke_lease (KrStateClient *state, guint64 lease, GCancellable *cancel,
-                            KrHttpResponseFunc reply, gpointer data);
+                            KrHttpResponseFunc callback, gpointer data);
 /* Returns the seconds since a call last failed (503, or no answer); G_MAXINT if none has. */
 double kr_state_seconds_since_failure (KrStateClient *state);
 /* Returns the seconds that a further write would wait for the rate limit now. */
