--- a/tests/fakes.h
+++ b/tests/fakes.h
@@ -14,7 +14,7 @@
 typedef struct {
   char *from, *to, *host, *method, *path; /* from, to: host names; host: the address */
   json_t *body;
-  gint owner;        /* the node that sent it; -1: a fake did */
+  gint sender_node;  /* the node that sent it; -1: a fake did */
   guint incarnation; /* the sending node's, which changes with each start */
   gboolean completed;
   KrHttpResponseFunc reply;
@@ -91,11 +91,12 @@
 /* Calls `func` once after `s` seconds; its return value is ignored. */
 void schedule_after (double s, GSourceFunc func, gpointer data);
 /* Sends a request from a fake to a node. Takes over `body`. Calls `reply` once, with status 0 if
- * there is no response within `timeout_s`. The delayed one leaves `late_s` after the call. */
+ * there is no response within `timeout_s`. fakes_call_delayed() sends the request after `delay_s`;
+ * the timeout counts from its call. */
 Call *fakes_call (const char *from, const char *method, const char *address, const char *path,
                   json_t *body, double timeout_s, KrHttpResponseFunc reply, gpointer data);
 Call *fakes_call_delayed (const char *from, const char *method, const char *address,
-                          const char *path, json_t *body, double timeout_s, double late_s,
+                          const char *path, json_t *body, double timeout_s, double delay_s,
                           KrHttpResponseFunc reply, gpointer data);
 /* Sends the response to a request. Takes over `body`. */
 void fakes_respond (Call *c, guint status, json_t *body);
--- a/tests/sim.c
+++ b/tests/sim.c
@@ -19,8 +19,8 @@
 typedef struct {
   gint64 at;
   guint64 sequence;
-  guint id;          /* of a node's timer; 0: no such timer */
-  gint owner;        /* the node that handles the event; -1: a fake does */
+  guint id;          /* of a node's timer; 0: the event is not a timer */
+  gint node;         /* the node that handles the event; -1: a fake does */
   guint incarnation; /* of that node: the event is void in a later one */
   GSourceFunc func;
   gpointer data;
@@ -65,13 +65,13 @@
 }
 
 static GSequenceIter *
-add_event (gint64 at, gint owner, GSourceFunc func, gpointer data)
+add_event (gint64 at, gint node, GSourceFunc func, gpointer data)
 {
   Event *e = g_new0 (Event, 1);
   e->at = at;
   e->sequence = ++sim.sequence;
-  e->owner = owner;
-  e->incarnation = owner >= 0 ? sim.nodes[owner].incarnation : 0;
+  e->node = node;
+  e->incarnation = node >= 0 ? sim.nodes[node].incarnation : 0;
   e->func = func;
   e->data = data;
   return g_sequence_insert_sorted (sim.queue, e, compare_events, NULL);
@@ -134,18 +134,18 @@
 }
 
 static gboolean
-is_alive (gint owner, guint incarnation)
+is_alive (gint node, guint incarnation)
 {
-  return owner < 0 || (sim.nodes[owner].alive && sim.nodes[owner].incarnation == incarnation);
+  return node < 0 || (sim.nodes[node].alive && sim.nodes[node].incarnation == incarnation);
 }
 
 /* Interval at which events of a paused node are tried again. */
 #define PAUSED_POLL_US 20000
 
 static gboolean
-is_paused (gint owner)
+is_paused (gint node)
 {
-  return owner >= 0 && sim.nodes[owner].paused;
+  return node >= 0 && sim.nodes[node].paused;
 }
 
 void
@@ -165,17 +165,17 @@
       g_sequence_remove (i);
     else
       g_sequence_sort_changed (i, compare_events, NULL);
-    if (!is_alive (copy.owner, copy.incarnation)) {
+    if (!is_alive (copy.node, copy.incarnation)) {
       if (copy.interval_ms)
         kr_timer_remove (copy.id);
       continue;
     }
-    if (is_paused (copy.owner)) { /* the timer fires when the node continues */
+    if (is_paused (copy.node)) { /* the timer fires when the node continues */
       e->at = fakes.now + PAUSED_POLL_US;
       g_sequence_sort_changed (i, compare_events, NULL);
       continue;
     }
-    sim.current_node = copy.owner;
+    sim.current_node = copy.node;
     gboolean again = copy.func (copy.data);
     sim.current_node = -1;
     if (copy.interval_ms && !again)
@@ -192,19 +192,19 @@
 
 /* --- HTTP ----------------------------------------------------------------------------------- */
 struct KrHttpClient {
-  gint owner;
+  gint node;
 };
 
 struct KrHttpServer {
   KrHttpHandler handler;
   gpointer data;
-  gint owner;
+  gint node;
   guint incarnation;
 };
 
 struct KrRequest {
   Call *call;
-  gint owner;
+  gint node;
   guint incarnation;
 };
 
@@ -214,7 +214,7 @@
 static void
 count_command_change (const Call *c, gint change)
 {
-  if (c->owner < 0 || !g_str_equal (c->path, "/commands"))
+  if (c->sender_node < 0 || !g_str_equal (c->path, "/commands"))
     return;
   guint now =
       GPOINTER_TO_UINT (g_hash_table_lookup (sim.commands_in_flight, c->host)) + (guint) change;
@@ -245,8 +245,8 @@
 {
   if (c->completed)
     return;
-  gboolean caller_alive = is_alive (c->owner, c->incarnation);
-  if (caller_alive && is_paused (c->owner)) {
+  gboolean caller_alive = is_alive (c->sender_node, c->incarnation);
+  if (caller_alive && is_paused (c->sender_node)) {
     c->status = status;
     c->response = body;
     schedule_after (PAUSED_POLL_US / 1e6, response_arrives, c);
@@ -257,7 +257,7 @@
   if (!caller_alive)
     return;
   gint before = sim.current_node;
-  sim.current_node = c->owner;
+  sim.current_node = c->sender_node;
   c->reply (status, body, c->data);
   sim.current_node = before;
 }
@@ -326,25 +326,25 @@
     fakes_handle_request (c);
     return FALSE;
   }
-  if (!is_alive (s->owner, s->incarnation) ||
-      (sim.drop_peer_requests[s->owner] && is_peer_address (c->host)))
+  if (!is_alive (s->node, s->incarnation) ||
+      (sim.drop_peer_requests[s->node] && is_peer_address (c->host)))
     return FALSE;
-  if (is_paused (s->owner)) {
+  if (is_paused (s->node)) {
     schedule_after (PAUSED_POLL_US / 1e6, request_arrives, c);
     return FALSE;
   }
   KrRequest *r = g_new0 (KrRequest, 1);
   r->call = c;
-  r->owner = s->owner;
+  r->node = s->node;
   r->incarnation = s->incarnation;
-  guint64 before = walk_steps (s->owner);
+  guint64 before = walk_steps (s->node);
   gboolean is_report = g_str_equal (c->path, "/agent/beat");
-  sim.current_node = s->owner;
+  sim.current_node = s->node;
   s->handler (r, s->data);
   sim.current_node = -1;
   if (is_report) {
     sim.reports++;
-    sim.report_steps += walk_steps (s->owner) - before;
+    sim.report_steps += walk_steps (s->node) - before;
   }
   return FALSE;
 }
@@ -377,7 +377,7 @@
 
 Call *
 fakes_call_delayed (const char *from, const char *method, const char *address, const char *path,
-                    json_t *body, double timeout_s, double late_s, KrHttpResponseFunc reply,
+                    json_t *body, double timeout_s, double delay_s, KrHttpResponseFunc reply,
                     gpointer data)
 {
   Call *c = g_new0 (Call, 1);
@@ -387,14 +387,14 @@
   c->method = g_strdup (method);
   c->path = g_strdup (path);
   c->body = body;
-  c->owner = sim.current_node;
-  c->incarnation = c->owner >= 0 ? sim.nodes[c->owner].incarnation : 0;
+  c->sender_node = sim.current_node;
+  c->incarnation = c->sender_node >= 0 ? sim.nodes[c->sender_node].incarnation : 0;
   c->reply = reply;
   c->data = data;
   count_command_change (c, 1);
   schedule_after (timeout_s, call_timed_out, c);
-  if (late_s > 0)
-    schedule_after (late_s, send_request, c);
+  if (delay_s > 0)
+    schedule_after (delay_s, send_request, c);
   else
     send_request (c);
   if (!fakes_sending_duplicate && !g_str_has_prefix (from, "host-") &&
@@ -427,7 +427,7 @@
 kr_http_client_new (guint conns, guint conns_per_host, guint idle_s)
 {
   KrHttpClient *c = g_new0 (KrHttpClient, 1);
-  c->owner = sim.current_node;
+  c->node = sim.current_node;
   return c;
 }
 
--- a/tests/sim.h
+++ b/tests/sim.h
@@ -30,7 +30,8 @@
   guint zones;                   /* named "z0", "z1", ...; 0: one */
   double run_time_jitter;        /* a task's run time varies by up to this fraction */
   double boot_min_s, boot_max_s; /* range of the machines' boot times; 0: 6 to 15 s */
-  /* Whenever a job is accepted or ends, its user asks every node for it within 20 ms. */
+  /* Whenever a job is accepted or finished, its user polls and resubmits it at every node within
+   * 20 ms. */
   gboolean poll_after_change;
 } SimOptions;
 
@@ -73,13 +74,13 @@
 void sim_state_delay (double seconds);
 /* Responses to watches take that much longer. */
 void sim_watch_delay (double seconds);
-/* That share of the commits is executed 2 to 12 s late, after newer ones. The caller has usually
- * timed out by then. */
+/* That share of the commits is executed 2 to 12 s late, after newer ones, or never if the state
+ * service has an outage then. The caller has usually timed out by that time. */
 void sim_delay_commits (double share);
 /* The next n commits are executed, but their responses are lost. */
 void sim_drop_commit_responses (guint n);
 /* The next n commits that put a key with that prefix are executed, and get their response, that
- * much later. */
+ * much later, or never if the state service has an outage then. */
 void sim_hold_commits (const char *prefix, guint n, double seconds);
 /* Returns how many of these commits are still to come. */
 guint sim_commits_left_to_hold (void);
--- a/tests/soak/backend.c
+++ b/tests/soak/backend.c
@@ -11,8 +11,8 @@
 #define TIMER_INTERVAL_MS 2
 #define USER_CLIENTS 64
 #define MACHINES_PER_BYTE 250 /* machines that share the third byte of the address */
-#define FIRST_MACHINE_BYTE 10
-#define FIRST_PROXY_BYTE 100
+#define FIRST_MACHINE_BYTE 10 /* third byte of the first machines' addresses */
+#define FIRST_PROXY_BYTE 100  /* third byte of the addresses at which node 0 reaches its peers */
 
 typedef struct {
   GPid pid;
@@ -213,12 +213,12 @@
   c->method = g_strdup (kr_request_method (request));
   c->path = g_strconcat (kr_request_path (request), query ? "?" : "", query ? query : "", NULL);
   c->body = json_incref (kr_request_json (request));
-  c->owner = -1;
+  c->sender_node = -1;
   c->http_request = request;
   fakes_deliver (c->from, c->to, request_arrives, c);
 }
 
-/* Takes over all three strings. */
+/* Starts a server at `address` for the requests of `from` to `to`. Takes over all three strings. */
 static void
 listen_on (char *address, char *from, char *to)
 {
@@ -296,7 +296,7 @@
 
 Call *
 fakes_call_delayed (const char *from, const char *method, const char *address, const char *path,
-                    json_t *body, double timeout_s, double late_s, KrHttpResponseFunc reply,
+                    json_t *body, double timeout_s, double delay_s, KrHttpResponseFunc reply,
                     gpointer data)
 {
   Call *c = g_new0 (Call, 1);
@@ -306,12 +306,12 @@
   c->method = g_strdup (method);
   c->path = g_strdup (path);
   c->body = body;
-  c->owner = -1;
+  c->sender_node = -1;
   c->reply = reply;
   c->data = data;
   schedule_after (timeout_s, call_timed_out, c);
-  if (late_s > 0)
-    schedule_after (late_s, send_call, c);
+  if (delay_s > 0)
+    schedule_after (delay_s, send_call, c);
   else
     send_call (c);
   return c;
