--- a/tests/fakes.c
+++ b/tests/fakes.c
@@ -42,10 +42,10 @@
 void
 fakes_deliver (const char *from, const char *to, GSourceFunc func, gpointer data)
 {
-  SimLinkState c = fakes_link_state (from, to);
-  if (c == SIM_LINK_DROP)
+  SimLinkState state = fakes_link_state (from, to);
+  if (state == SIM_LINK_DROP)
     return;
-  if (c == SIM_LINK_HOLD) {
+  if (state == SIM_LINK_HOLD) {
     Message *m = g_new (Message, 1);
     *m = (Message){ g_strdup (from), g_strdup (to), func, data };
     g_ptr_array_add (fakes.held_messages, m);
@@ -219,7 +219,7 @@
 }
 
 static gboolean
-notify_watches_timeout (gpointer data)
+notify_watches_callback (gpointer data)
 {
   notify_watches ();
   return FALSE;
@@ -430,7 +430,7 @@
 }
 
 static guint64
-write_lease (json_t *write)
+lease_of_write (json_t *write)
 {
   return (guint64) json_integer_value (json_object_get (write, "Permit"));
 }
@@ -442,7 +442,7 @@
   size_t i;
   json_array_foreach (writes, i, o)
   {
-    guint64 lease = write_lease (o);
+    guint64 lease = lease_of_write (o);
     if (lease && !g_hash_table_contains (fakes.leases, &lease))
       return FALSE;
   }
@@ -451,7 +451,7 @@
 
 /* Returns the keys that aren't at the revision that the transaction expects, as a JSON array. */
 static json_t *
-conflicts (const Call *c)
+find_conflicts (const Call *c)
 {
   json_t *failed = json_array (), *o;
   size_t i;
@@ -465,7 +465,7 @@
   return failed;
 }
 
-/* Checks that no machine is in two machine records: two owners would start tasks on it. */
+/* Checks that no machine is in two shards' records: the owners of both would start tasks on it. */
 static void
 check_records (void)
 {
@@ -497,7 +497,7 @@
   {
     const char *put = json_string_value (json_object_get (o, "Put"));
     if (put)
-      write_key (put, json_object_get (o, "Value"), write_lease (o));
+      write_key (put, json_object_get (o, "Value"), lease_of_write (o));
     else
       write_key (json_string_value (json_object_get (o, "Remove")), NULL, 0);
     records |= put && g_str_has_prefix (put, RECORD_PREFIX);
@@ -533,7 +533,7 @@
     fakes_respond (c, 400, json_pack ("{ss}", "error", "no such lease"));
     return;
   }
-  json_t *failed = conflicts (c);
+  json_t *failed = find_conflicts (c);
   if (json_array_size (failed)) {
     fakes_respond (c, 409,
                    json_pack ("{so sI}", "failed", failed, "Ledger", (json_int_t) fakes.revision));
@@ -545,7 +545,7 @@
     fakes.drop_commit_responses--;
   else
     fakes_respond (c, 200, json_pack ("{sI}", "Ledger", (json_int_t) fakes.revision));
-  schedule_after (0, notify_watches_timeout, NULL);
+  schedule_after (0, notify_watches_callback, NULL);
 }
 
 static gboolean
@@ -562,8 +562,8 @@
 {
   g_autofree char *want = g_strconcat (name, "=", NULL);
   const char *q = strchr (path, '?');
-  g_auto (GStrv) shards = g_strsplit (q ? q + 1 : "", "&", -1);
-  for (char **p = shards; *p; p++)
+  g_auto (GStrv) params = g_strsplit (q ? q + 1 : "", "&", -1);
+  for (char **p = params; *p; p++)
     if (g_str_has_prefix (*p, want))
       return g_strdup (*p + strlen (want));
   return NULL;
@@ -635,11 +635,11 @@
   else if (g_str_equal (c->path, "/commit"))
     commit (c);
   else if (g_str_has_prefix (c->path, "/follow")) {
-    Watch *f = g_new (Watch, 1);
+    Watch *w = g_new (Watch, 1);
     g_autofree char *from = query_param (c->path, "From"), *hold = query_param (c->path, "HoldMs");
-    *f = (Watch){ c, query_param (c->path, "Prefix"), g_ascii_strtoull (from, NULL, 10),
+    *w = (Watch){ c, query_param (c->path, "Prefix"), g_ascii_strtoull (from, NULL, 10),
                   fakes.now + (gint64) atoi (hold) * 1000 };
-    g_ptr_array_add (fakes.watches, f);
+    g_ptr_array_add (fakes.watches, w);
     notify_watches ();
   } else if (g_str_has_prefix (c->path, "/leases")) {
     guint64 id = g_ascii_strtoull (c->path + strlen ("/leases") + (c->path[7] == '/'), NULL, 10);
@@ -748,23 +748,23 @@
 /* Checks the job's placement rule over its running tasks, including the one that has just started.
  */
 static void
-check_placement (const Machine *m, const UserJob *u)
+check_placement (const Machine *m, const UserJob *user_job)
 {
   GHashTableIter it;
   gpointer value;
   guint in_zone = 0, all = 0;
-  if (!u || u->placement == SIM_ANYWHERE)
+  if (!user_job || user_job->placement == SIM_ANYWHERE)
     return;
   g_hash_table_iter_init (&it, fakes.running_tasks);
   while (g_hash_table_iter_next (&it, NULL, &value)) {
     const Task *t = value;
-    if (!g_str_equal (t->job, u->id))
+    if (!g_str_equal (t->job, user_job->id))
       continue;
     all++;
     in_zone += g_str_equal (((Machine *) t->machine)->zone, m->zone);
   }
-  if (u->placement == SIM_ONE_ZONE ? in_zone != all : in_zone > (u->tasks + 1) / 2)
-    record_violation ("wrong_place: job %s has %u of its %u running tasks in zone %s", u->id,
+  if (user_job->placement == SIM_ONE_ZONE ? in_zone != all : in_zone > (user_job->tasks + 1) / 2)
+    record_violation ("wrong_place: job %s has %u of its %u running tasks in zone %s", user_job->id,
                       in_zone, all, m->zone);
 }
 
@@ -773,7 +773,7 @@
 static void
 check_start (Machine *m, Task *t)
 {
-  UserJob *u = g_hash_table_lookup (fakes.jobs, t->job);
+  UserJob *user_job = g_hash_table_lookup (fakes.jobs, t->job);
   GHashTableIter it;
   gpointer value;
   double used = 0;
@@ -782,8 +782,8 @@
   const Task *other = g_hash_table_lookup (fakes.running_tasks, key);
 
   fakes.tasks_started++;
-  if (u && !u->first_task_at)
-    u->first_task_at = fakes.now;
+  if (user_job && !user_job->first_task_at)
+    user_job->first_task_at = fakes.now;
   if (other)
     record_violation ("ran_twice: task %s runs on %s and %s", key, ((Machine *) other->machine)->id,
                       m->id);
@@ -793,34 +793,34 @@
   g_hash_table_replace (fakes.running_tasks, key, t);
   g_hash_table_iter_init (&it, fakes.running_tasks);
   while (fakes.options.team_limit > 0 && g_hash_table_iter_next (&it, NULL, &value)) {
-    UserJob *v = g_hash_table_lookup (fakes.jobs, ((Task *) value)->job);
-    if (v && u && g_str_equal (v->team, u->team))
-      used += v->cpus;
+    UserJob *other_job = g_hash_table_lookup (fakes.jobs, ((Task *) value)->job);
+    if (other_job && user_job && g_str_equal (other_job->team, user_job->team))
+      used += other_job->cpus;
   }
-  if (u && fakes.options.team_limit > 0 && used > fakes.options.team_limit + 1e-6)
-    record_violation ("quota: team %s uses %g CPUs", u->team, used);
-  check_placement (m, u);
+  if (user_job && fakes.options.team_limit > 0 && used > fakes.options.team_limit + 1e-6)
+    record_violation ("quota: team %s uses %g CPUs", user_job->team, used);
+  check_placement (m, user_job);
   /* Stricter than the protocol: no task may start once the user was told of the cancellation. */
-  if (u && u->cancelled_at)
+  if (user_job && user_job->cancelled_at)
     record_violation ("started_cancelled: task %s/%u starts on %s", t->job, t->index, m->id);
 }
 
 static json_t *
 build_report (Machine *m)
 {
-  json_t *a = json_array ();
+  json_t *tasks = json_array ();
   for (guint i = 0; i < m->tasks->len; i++) {
     Task *t = m->tasks->pdata[i];
     json_t *o = json_pack ("{so sI ss}", "Shift", json_sprintf ("%s/%u", t->job, t->index),
                            "Launch", (json_int_t) t->attempt_id, "Bearing", t->state);
     if (t->exit_reason)
       json_object_set_new (o, "Wreck", json_string (t->exit_reason));
-    json_array_append_new (a, o);
+    json_array_append_new (tasks, o);
   }
   return json_pack ("{ss ss ss ss sb sI sI sI sn so}", "Berth", m->id, "Endpoint", m->address,
                     "Hull", "t8", "Harbor", m->zone, "Driftwood", 1, "Watch",
                     (json_int_t) m->session, "Log", (json_int_t) ++m->seq, "Helm",
-                    (json_int_t) m->token, "RecallS", "Shifts", a);
+                    (json_int_t) m->token, "RecallS", "Shifts", tasks);
 }
 
 static void
@@ -832,13 +832,14 @@
 static void
 start_if_due (Machine *m, Task *t)
 {
-  const UserJob *u = g_hash_table_lookup (fakes.jobs, t->job);
+  const UserJob *user_job = g_hash_table_lookup (fakes.jobs, t->job);
   if (!g_str_equal (t->state, "pulling") || fakes.now < t->starts_at)
     return;
   t->state = "running";
-  double run_s = u->run_s * g_rand_double_range (fakes.rng, 1 - fakes.options.run_time_jitter,
-                                                 1 + fakes.options.run_time_jitter + 1e-9);
-  t->fails = m->fail_tasks || u->fail_tasks;
+  double run_s =
+      user_job->run_s * g_rand_double_range (fakes.rng, 1 - fakes.options.run_time_jitter,
+                                             1 + fakes.options.run_time_jitter + 1e-9);
+  t->fails = m->fail_tasks || user_job->fail_tasks;
   t->ends_at =
       fakes.now + (gint64) ((t->fails ? 0.2 : run_s * (m->slowdown > 0 ? m->slowdown : 1)) * 1e6);
   check_start (m, t);
@@ -859,24 +860,24 @@
     guint index = (guint) atoi (slash + 1);
     guint64 attempt_id = (guint64) json_integer_value (json_object_get (o, "Launch"));
     Task *t = task_find (m, job, index, attempt_id);
-    UserJob *u = g_hash_table_lookup (fakes.jobs, job);
+    UserJob *user_job = g_hash_table_lookup (fakes.jobs, job);
     if (g_str_equal (order, "run") && !t) {
       double used = 0;
       gboolean has_task = FALSE;
       for (guint k = 0; k < m->tasks->len; k++) {
         Task *x = m->tasks->pdata[k];
-        UserJob *v = g_hash_table_lookup (fakes.jobs, x->job);
+        UserJob *other_job = g_hash_table_lookup (fakes.jobs, x->job);
         if (g_str_equal (x->state, "exited"))
           continue;
-        used += v ? v->cpus : 0;
+        used += other_job ? other_job->cpus : 0;
         has_task |= x->index == index && g_str_equal (x->job, job);
       }
       t = g_new0 (Task, 1);
       *t = (Task){ g_strdup (job), index, attempt_id, "pulling", NULL, 0, 0, FALSE, NULL };
       g_ptr_array_add (m->tasks, t);
-      if (!u || has_task || used + u->cpus > fakes.options.machine_cpus + 1e-6) {
+      if (!user_job || has_task || used + user_job->cpus > fakes.options.machine_cpus + 1e-6) {
         t->state = "exited";
-        t->exit_reason = !u ? "unknown" : has_task ? "in_use" : "no_room";
+        t->exit_reason = !user_job ? "unknown" : has_task ? "in_use" : "no_room";
       } else {
         t->starts_at = fakes.now + (gint64) (fakes.options.image_pull_s * 1e6);
         start_if_due (m, t);
@@ -910,16 +911,16 @@
 static void
 report_responded (guint status, json_t *body, gpointer data)
 {
-  SentReport *b = data;
-  Machine *m = b->m;
+  SentReport *sent = data;
+  Machine *m = sent->m;
   guint64 token = (guint64) json_integer_value (json_object_get (body, "Helm"));
 
   m->report_in_flight = FALSE;
   if (m->paused) { /* the report times out before the machine continues */
-    g_free (b);
+    g_free (sent);
     return;
   }
-  if (status == 200 && b->session == m->session) {
+  if (status == 200 && sent->session == m->session) {
     if (token >= m->token && token) {
       m->lease_renewed_at = m->report_sent_at;
       note_token (m, token);
@@ -934,7 +935,7 @@
     } else
       m->node = (m->node + 1) % fakes.options.nodes;
   }
-  g_free (b);
+  g_free (sent);
 }
 
 /* Interval at which reports are saved for sim_replay_old_reports(). */
@@ -975,8 +976,8 @@
 send_report (Machine *m)
 {
   g_autofree char *address = sim_node_address (m->node, SIM_CLIENT_PORT);
-  SentReport *b = g_new (SentReport, 1);
-  *b = (SentReport){ m, m->session };
+  SentReport *sent = g_new (SentReport, 1);
+  *sent = (SentReport){ m, m->session };
   m->report_in_flight = TRUE;
   m->report_sent_at = m->last_report_at = fakes.now;
   m->next_report_at = fakes.now + (gint64) (fakes.options.report_s *
@@ -986,7 +987,7 @@
   if (g_rand_double (fakes.rng) < fakes.options.duplicate_reports)
     fakes_send_duplicate_later (m->id, "POST", address, "/agent/beat", r);
   fakes_call_delayed (m->id, "POST", address, "/agent/beat", r, 4, m->report_delay_s,
-                      report_responded, b);
+                      report_responded, sent);
   m->report_delay_s = 0;
 }
 
@@ -1016,24 +1017,24 @@
     return FALSE;
   for (guint i = 0; i < m->tasks->len; i++) {
     Task *t = m->tasks->pdata[i];
-    UserJob *u = g_hash_table_lookup (fakes.jobs, t->job);
+    UserJob *user_job = g_hash_table_lookup (fakes.jobs, t->job);
     start_if_due (m, t);
     if (!g_str_equal (t->state, "running"))
       continue;
-    if (u && u->cancelled_at &&
-        fakes.now - u->cancelled_at > (gint64) (fakes.options.cancel_s * 1e6)) {
+    if (user_job && user_job->cancelled_at &&
+        fakes.now - user_job->cancelled_at > (gint64) (fakes.options.cancel_s * 1e6)) {
       record_violation ("ran_cancelled: task %s/%u still runs on %s", t->job, t->index, m->id);
-      u->cancelled_at = G_MAXINT64 / 2; /* records the violation only once */
+      user_job->cancelled_at = G_MAXINT64 / 2; /* records the violation only once */
     }
     if (fakes.now < t->ends_at)
       continue;
     t->state = "exited";
     t->exit_reason = t->fails ? "error" : "done";
     unregister_running (t);
-    if (!t->fails && u && !u->completed[t->index]) {
-      u->completed[t->index] = 1;
-      u->n_completed++;
-      u->completed_at = fakes.now;
+    if (!t->fails && user_job && !user_job->completed[t->index]) {
+      user_job->completed[t->index] = 1;
+      user_job->n_completed++;
+      user_job->completed_at = fakes.now;
     }
     report_soon (m);
   }
@@ -1116,10 +1117,10 @@
   m->id = g_strdup_printf ("host-%06u", fakes.next_machine);
   m->address = sim_machine_address (fakes.next_machine++);
   m->rented_at = fakes.now;
-  double least = fakes.options.boot_max_s > 0 ? fakes.options.boot_min_s : 6;
-  double most = fakes.options.boot_max_s > 0 ? fakes.options.boot_max_s : 15;
-  m->up_at =
-      fakes.now + g_rand_int_range (fakes.rng, (gint32) (least * 1e6), (gint32) (most * 1e6));
+  double boot_min_s = fakes.options.boot_max_s > 0 ? fakes.options.boot_min_s : 6;
+  double boot_max_s = fakes.options.boot_max_s > 0 ? fakes.options.boot_max_s : 15;
+  m->up_at = fakes.now +
+             g_rand_int_range (fakes.rng, (gint32) (boot_min_s * 1e6), (gint32) (boot_max_s * 1e6));
   if (fakes.fail_boots)
     m->up_at = G_MAXINT64;
   m->tasks = g_ptr_array_new_with_free_func (task_free);
@@ -1204,14 +1205,14 @@
 {
   GHashTableIter it;
   gpointer value;
-  gint64 most = 0;
+  gint64 longest = 0;
   g_hash_table_iter_init (&it, fakes.machines);
   while (g_hash_table_iter_next (&it, NULL, &value)) {
     const Machine *m = value;
     if (!m->up && !m->dead)
-      most = MAX (most, fakes.now - m->rented_at);
+      longest = MAX (longest, fakes.now - m->rented_at);
   }
-  return most / 1e6;
+  return longest / 1e6;
 }
 
 char **
@@ -1248,14 +1249,14 @@
 {
   GHashTableIter it;
   gpointer value;
-  double most = 0;
+  double longest = 0;
   g_hash_table_iter_init (&it, fakes.machines);
   while (g_hash_table_iter_next (&it, NULL, &value)) {
     const Machine *m = value;
     if (m->up && !m->dead)
-      most = MAX (most, ((m->first_task_at ? m->first_task_at : fakes.now) - m->up_at) / 1e6);
+      longest = MAX (longest, ((m->first_task_at ? m->first_task_at : fakes.now) - m->up_at) / 1e6);
   }
-  return most;
+  return longest;
 }
 
 static const char *
@@ -1341,7 +1342,7 @@
 static void
 handle_cloud_request (Call *c)
 {
-  json_t *o, *a = json_array ();
+  json_t *o, *machines = json_array ();
   size_t i;
 
   if (g_str_equal (c->path, "/machine_types")) {
@@ -1385,15 +1386,15 @@
       Machine *m = g_hash_table_lookup (fakes.machines, l->data);
       /* The list lags by two seconds for new machines: they are missing until then. */
       if (!m->dead && fakes.now - m->rented_at > 2000000)
-        json_array_append_new (a,
+        json_array_append_new (machines,
                                json_pack ("{ss ss ss ss sb ss sf}", "Id", m->id, "Endpoint",
                                           m->address, "Hull", "t8", "Harbor", m->zone, "Driftwood",
                                           1, "Bearing", m->up ? "running" : "starting", "HeldS",
                                           (fakes.now - m->rented_at) / 1e6));
     }
-    fakes_respond (c, 200, json_pack ("{sO sb}", "Berths", a, "More", 0));
+    fakes_respond (c, 200, json_pack ("{sO sb}", "Berths", machines, "More", 0));
   }
-  json_decref (a);
+  json_decref (machines);
 }
 
 void
@@ -1427,24 +1428,25 @@
 /* Records a violation if an accepted job's user has had no response for 75 s, counted from the last
  * fault at the earliest. */
 static void
-check_response_age (UserJob *u)
+check_response_age (UserJob *user_job)
 {
-  if (!fakes.faults_over_at || !u->accepted ||
-      fakes.now - MAX (u->last_response_at, fakes.faults_over_at) <= 75000000)
+  if (!fakes.faults_over_at || !user_job->accepted ||
+      fakes.now - MAX (user_job->last_response_at, fakes.faults_over_at) <= 75000000)
     return;
-  record_violation ("forgotten: no response about job %s for 75 s", u->id);
-  u->last_response_at = fakes.now;
+  record_violation ("forgotten: no response about job %s for 75 s", user_job->id);
+  user_job->last_response_at = fakes.now;
 }
 
 static gboolean
-is_finished (const UserJob *u)
+is_finished (const UserJob *user_job)
 {
-  return g_str_equal (u->reported_state, "done") || g_str_equal (u->reported_state, "cancelled");
+  return g_str_equal (user_job->reported_state, "done") ||
+         g_str_equal (user_job->reported_state, "cancelled");
 }
 
 /* Counts the job's tasks that haven't exited, in a zone or (NULL) on the machine `only`. */
 static guint
-count_tasks (const UserJob *u, const char *zone, const Machine *only)
+count_tasks (const UserJob *user_job, const char *zone, const Machine *only)
 {
   GHashTableIter it;
   gpointer value;
@@ -1456,7 +1458,7 @@
       continue;
     for (guint i = 0; i < m->tasks->len; i++) {
       const Task *t = m->tasks->pdata[i];
-      n += g_str_equal (t->job, u->id) && !g_str_equal (t->state, "exited");
+      n += g_str_equal (t->job, user_job->id) && !g_str_equal (t->state, "exited");
     }
   }
   return n;
@@ -1469,9 +1471,10 @@
   double used = 0;
   for (guint i = 0; i < m->tasks->len; i++) {
     const Task *t = m->tasks->pdata[i];
-    const UserJob *u = g_hash_table_lookup (fakes.jobs, t->job);
-    if (u && !g_str_equal (t->state, "exited") && (!team || g_str_equal (u->team, team)))
-      used += u->cpus;
+    const UserJob *user_job = g_hash_table_lookup (fakes.jobs, t->job);
+    if (user_job && !g_str_equal (t->state, "exited") &&
+        (!team || g_str_equal (user_job->team, team)))
+      used += user_job->cpus;
   }
   return used;
 }
@@ -1479,44 +1482,46 @@
 /* Returns whether a task of the job could start now: not all are completed or on machines, its team
  * is within its quota, and a machine with enough free CPUs satisfies the placement rule. */
 static gboolean
-could_start (const UserJob *u)
+could_start (const UserJob *user_job)
 {
   GHashTableIter it;
   gpointer value;
   double team_cpus = 0;
-  guint on_machines = 0, in_zone, most = (u->tasks + 1) / 2;
-  gboolean room = FALSE;
+  guint on_machines = 0, in_zone, zone_max = (user_job->tasks + 1) / 2;
+  gboolean fits = FALSE;
 
   g_hash_table_iter_init (&it, fakes.machines);
   while (g_hash_table_iter_next (&it, NULL, &value)) {
-    team_cpus += cpus_in_use (value, u->team);
-    on_machines += count_tasks (u, NULL, value);
+    team_cpus += cpus_in_use (value, user_job->team);
+    on_machines += count_tasks (user_job, NULL, value);
   }
-  if (u->n_completed + on_machines >= u->tasks ||
-      (fakes.options.team_limit > 0 && team_cpus + u->cpus > fakes.options.team_limit + 1e-6))
+  if (user_job->n_completed + on_machines >= user_job->tasks ||
+      (fakes.options.team_limit > 0 &&
+       team_cpus + user_job->cpus > fakes.options.team_limit + 1e-6))
     return FALSE;
   g_hash_table_iter_init (&it, fakes.machines);
   while (g_hash_table_iter_next (&it, NULL, &value)) {
     const Machine *m = value;
-    in_zone = count_tasks (u, m->zone, NULL);
-    room |= m->up && !m->dead &&
-            cpus_in_use (m, NULL) + u->cpus <= fakes.options.machine_cpus + 1e-6 &&
-            (u->placement != SIM_ONE_ZONE || in_zone == on_machines) &&
-            (u->placement != SIM_SPREAD || in_zone < most);
+    in_zone = count_tasks (user_job, m->zone, NULL);
+    fits |= m->up && !m->dead &&
+            cpus_in_use (m, NULL) + user_job->cpus <= fakes.options.machine_cpus + 1e-6 &&
+            (user_job->placement != SIM_ONE_ZONE || in_zone == on_machines) &&
+            (user_job->placement != SIM_SPREAD || in_zone < zone_max);
   }
-  return room;
+  return fits;
 }
 
-/* Checks that a job's first task starts within 240 s. The rule is for the largest jobs; the checker
- * applies it to all. */
+/* Checks that a job's first task starts within 240 s. The rule is meant for the largest jobs; the
+ * checker applies it to all. */
 static void
-check_first_task (UserJob *u)
+check_first_task (UserJob *user_job)
 {
-  if (u->first_task_at || !u->accepted || u->cancel_requested || u->late_reported ||
-      fakes.now - MAX (u->submitted_at, fakes.faults_over_at) <= 240000000)
+  if (user_job->first_task_at || !user_job->accepted || user_job->cancel_requested ||
+      user_job->late_reported ||
+      fakes.now - MAX (user_job->submitted_at, fakes.faults_over_at) <= 240000000)
     return;
-  record_violation ("not_begun: no task of job %s started within 240 s", u->id);
-  u->late_reported = TRUE;
+  record_violation ("not_begun: no task of job %s started within 240 s", user_job->id);
+  user_job->late_reported = TRUE;
 }
 
 static gboolean
@@ -1527,17 +1532,18 @@
   schedule_after (1, check_waiting, NULL);
   g_hash_table_iter_init (&it, fakes.jobs);
   while (g_hash_table_iter_next (&it, NULL, &value)) {
-    UserJob *u = value;
-    check_first_task (u);
-    if (!u->accepted || u->cancel_requested || is_finished (u) || !could_start (u)) {
-      u->could_start_since = 0;
+    UserJob *user_job = value;
+    check_first_task (user_job);
+    if (!user_job->accepted || user_job->cancel_requested || is_finished (user_job) ||
+        !could_start (user_job)) {
+      user_job->could_start_since = 0;
       continue;
     }
-    if (!u->could_start_since)
-      u->could_start_since = fakes.now;
-    if (fakes.now - u->could_start_since > 90000000) {
-      record_violation ("waits: job %s waited for 90 s although it could start", u->id);
-      u->could_start_since = fakes.now;
+    if (!user_job->could_start_since)
+      user_job->could_start_since = fakes.now;
+    if (fakes.now - user_job->could_start_since > 90000000) {
+      record_violation ("waits: job %s waited for 90 s although it could start", user_job->id);
+      user_job->could_start_since = fakes.now;
     }
   }
   return FALSE;
@@ -1555,40 +1561,40 @@
 double
 sim_time_to_first_task (const char *id)
 {
-  const UserJob *u = g_hash_table_lookup (fakes.jobs, id);
-  return u->first_task_at ? (u->first_task_at - u->submitted_at) / 1e6 : -1;
+  const UserJob *user_job = g_hash_table_lookup (fakes.jobs, id);
+  return user_job->first_task_at ? (user_job->first_task_at - user_job->submitted_at) / 1e6 : -1;
 }
 
-static void poll_all_nodes (UserJob *u);
+static void send_extra_requests (UserJob *user_job);
 
 static void
-note_state (UserJob *u, const char *state, gint64 sent_at)
+note_state (UserJob *user_job, const char *state, gint64 sent_at)
 {
-  gboolean final = is_finished (u);
-  u->last_response_at = fakes.now;
-  if (final && sent_at < u->finished_at)
+  gboolean final = is_finished (user_job);
+  user_job->last_response_at = fakes.now;
+  if (final && sent_at < user_job->finished_at)
     return; /* sent before the final response arrived, which has overtaken this one */
-  if (final && !g_str_equal (u->reported_state, state))
-    record_violation ("went_back: %s was %s, is %s", u->id, u->reported_state, state);
-  if (g_str_equal (state, "done") && u->n_completed < u->tasks)
-    record_violation ("not_done: job %s is reported done with %u of %u tasks completed", u->id,
-                      u->n_completed, u->tasks);
-  if (g_str_equal (state, "cancelled") && !u->cancel_requested)
-    record_violation ("went_back: %s was not cancelled by its user", u->id);
-  if (g_str_equal (state, "cancelled") && !u->cancelled_at)
-    u->cancelled_at = fakes.now;
-  g_free (u->reported_state);
-  u->reported_state = g_strdup (state);
-  if (!final && is_finished (u)) {
-    u->finished_at = fakes.now;
-    poll_all_nodes (u);
+  if (final && !g_str_equal (user_job->reported_state, state))
+    record_violation ("went_back: %s was %s, is %s", user_job->id, user_job->reported_state, state);
+  if (g_str_equal (state, "done") && user_job->n_completed < user_job->tasks)
+    record_violation ("not_done: job %s is reported done with %u of %u tasks completed",
+                      user_job->id, user_job->n_completed, user_job->tasks);
+  if (g_str_equal (state, "cancelled") && !user_job->cancel_requested)
+    record_violation ("went_back: %s was not cancelled by its user", user_job->id);
+  if (g_str_equal (state, "cancelled") && !user_job->cancelled_at)
+    user_job->cancelled_at = fakes.now;
+  g_free (user_job->reported_state);
+  user_job->reported_state = g_strdup (state);
+  if (!final && is_finished (user_job)) {
+    user_job->finished_at = fakes.now;
+    send_extra_requests (user_job);
   }
 }
 
-/* One of the requests that a user sends to all nodes once the job is accepted, and once it is over.
- */
+/* One of the requests that a user sends to all nodes when the job is accepted, and again when it is
+ * finished. */
 typedef struct {
-  UserJob *user;
+  UserJob *user_job;
   guint node;
   gboolean submits; /* repeats the submission instead of polling */
   gint64 sent_at;
@@ -1598,13 +1604,13 @@
 extra_request_responded (guint status, json_t *body, gpointer data)
 {
   g_autofree ExtraRequest *extra = data;
-  UserJob *u = extra->user;
+  UserJob *user_job = extra->user_job;
   const char *state = json_string_value (json_object_get (body, "Bearing"));
   if (status == 400 || status == 404 || status == 422)
-    record_violation ("forgotten: request for job %s gets status %u from n%u", u->id, status,
+    record_violation ("forgotten: request for job %s gets status %u from n%u", user_job->id, status,
                       extra->node);
   else if (status == 200 && state)
-    note_state (u, state, extra->sent_at);
+    note_state (user_job, state, extra->sent_at);
 }
 
 static gboolean
@@ -1612,58 +1618,59 @@
 {
   ExtraRequest *extra = data;
   g_autofree char *address = sim_node_address (extra->node, SIM_CLIENT_PORT);
-  g_autofree char *poll = g_strdup_printf ("/api/jobs/%s", extra->user->id);
+  g_autofree char *poll_path = g_strdup_printf ("/api/jobs/%s", extra->user_job->id);
   extra->sent_at = fakes.now;
   if (extra->submits)
-    fakes_call ("user", "POST", address, "/api/jobs", json_incref (extra->user->body), 5,
+    fakes_call ("user", "POST", address, "/api/jobs", json_incref (extra->user_job->body), 5,
                 extra_request_responded, extra);
   else
-    fakes_call ("user", "GET", address, poll, NULL, 2, extra_request_responded, extra);
+    fakes_call ("user", "GET", address, poll_path, NULL, 2, extra_request_responded, extra);
   return FALSE;
 }
 
 static void
-poll_all_nodes (UserJob *u)
+send_extra_requests (UserJob *user_job)
 {
   for (guint i = 0; fakes.options.poll_after_change && i < 2 * fakes.options.nodes; i++) {
     ExtraRequest *extra = g_new (ExtraRequest, 1);
-    *extra = (ExtraRequest){ u, i / 2, i % 2, 0 };
+    *extra = (ExtraRequest){ user_job, i / 2, i % 2, 0 };
     schedule_after (g_rand_double_range (fakes.rng, 0, 0.02), send_extra_request, extra);
   }
 }
 
 static void
-note_accepted (UserJob *u)
+note_accepted (UserJob *user_job)
 {
-  gboolean first = !u->accepted;
-  u->accepted = TRUE;
-  u->last_response_at = fakes.now;
+  gboolean first = !user_job->accepted;
+  user_job->accepted = TRUE;
+  user_job->last_response_at = fakes.now;
   if (!first)
     return;
-  u->accepted_at = fakes.now;
-  poll_all_nodes (u);
+  user_job->accepted_at = fakes.now;
+  send_extra_requests (user_job);
 }
 
-/* Returns whether the user has asked for the cancellation and not been told that the job is over.
- */
+/* Returns whether the user has asked for the cancellation and not been told that the job is
+ * finished. */
 static gboolean
-is_cancelling (const UserJob *u)
+is_cancelling (const UserJob *user_job)
 {
-  return u->cancel_requested && !is_finished (u);
+  return user_job->cancel_requested && !is_finished (user_job);
 }
 
-/* A user's request in flight. Each has its own time: several may be in flight at once, and a
- * response that a newer request's has overtaken is no step back in the job's state. */
+/* A user's request in flight, and the time at which it was sent. Several may be in flight at once:
+ * the response to a request that was sent before the user learned the job's final state must not
+ * count as a change of that state. */
 typedef struct {
-  UserJob *user;
+  UserJob *user_job;
   gint64 sent_at;
 } UserRequest;
 
 static UserRequest *
-user_request_new (UserJob *u)
+user_request_new (UserJob *user_job)
 {
   UserRequest *request = g_new (UserRequest, 1);
-  *request = (UserRequest){ u, fakes.now };
+  *request = (UserRequest){ user_job, fakes.now };
   return request;
 }
 
@@ -1671,28 +1678,29 @@
 poll_responded (guint status, json_t *body, gpointer data)
 {
   g_autofree UserRequest *request = data;
-  UserJob *u = request->user;
+  UserJob *user_job = request->user_job;
   const char *state = json_string_value (json_object_get (body, "Bearing"));
   if (status == 200 && state)
-    note_state (u, state, request->sent_at);
+    note_state (user_job, state, request->sent_at);
   else if (status == 404)
-    record_violation ("forgotten: poll of job %s gets status 404", u->id);
-  schedule_after (is_cancelling (u) ? 1 : 5, send_next_request, u);
+    record_violation ("forgotten: poll of job %s gets status 404", user_job->id);
+  schedule_after (is_cancelling (user_job) ? 1 : 5, send_next_request, user_job);
 }
 
 static void
 submit_responded (guint status, json_t *body, gpointer data)
 {
   g_autofree UserRequest *request = data;
-  UserJob *u = request->user;
+  UserJob *user_job = request->user_job;
   const char *state = json_string_value (json_object_get (body, "Bearing"));
   if (status == 200 || status == 201) {
-    note_accepted (u);
+    note_accepted (user_job);
     if (state)
-      note_state (u, state, request->sent_at);
-  } else if (u->accepted && (status == 400 || status == 422))
-    record_violation ("forgotten: repeated submission of job %s is rejected", u->id);
-  schedule_after (u->accepted && !is_cancelling (u) ? 5 : 1, send_next_request, u);
+      note_state (user_job, state, request->sent_at);
+  } else if (user_job->accepted && (status == 400 || status == 422))
+    record_violation ("forgotten: repeated submission of job %s is rejected", user_job->id);
+  schedule_after (user_job->accepted && !is_cancelling (user_job) ? 5 : 1, send_next_request,
+                  user_job);
 }
 
 static void
@@ -1700,11 +1708,11 @@
 {
   const char *state = json_string_value (json_object_get (body, "Bearing"));
   if (status == 200 && state)
-    note_state (request->user, state, request->sent_at);
+    note_state (request->user_job, state, request->sent_at);
 }
 
 static void
-extra_responded (guint status, json_t *body, gpointer data)
+request_responded (guint status, json_t *body, gpointer data)
 {
   g_autofree UserRequest *request = data;
   note_response (request, status, body);
@@ -1715,31 +1723,32 @@
 {
   g_autofree UserRequest *request = data;
   note_response (request, status, body);
-  schedule_after (1, send_next_request, request->user);
+  schedule_after (1, send_next_request, request->user_job);
 }
 
 static void
-request_cancel (UserJob *u, const char *node, KrHttpResponseFunc reply)
+request_cancel (UserJob *user_job, const char *node, KrHttpResponseFunc reply)
 {
-  g_autofree char *path = g_strdup_printf ("/api/jobs/%s/abort", u->id);
-  fakes_call ("user", "POST", node, path, NULL, 5, reply, user_request_new (u));
+  g_autofree char *path = g_strdup_printf ("/api/jobs/%s/abort", user_job->id);
+  fakes_call ("user", "POST", node, path, NULL, 5, reply, user_request_new (user_job));
 }
 
 static gboolean
 send_next_request (gpointer data)
 {
-  UserJob *u = data;
+  UserJob *user_job = data;
   g_autofree char *node = random_live_node ();
-  g_autofree char *poll = g_strdup_printf ("/api/jobs/%s", u->id);
+  g_autofree char *poll_path = g_strdup_printf ("/api/jobs/%s", user_job->id);
   gint turn = g_rand_int_range (fakes.rng, 0, 3);
-  check_response_age (u);
-  if (u->accepted && is_cancelling (u) && turn == 0)
-    request_cancel (u, node, cancel_responded);
-  else if (!u->accepted || (is_cancelling (u) && turn == 1))
-    fakes_call ("user", "POST", node, "/api/jobs", json_incref (u->body), 5, submit_responded,
-                user_request_new (u));
+  check_response_age (user_job);
+  if (user_job->accepted && is_cancelling (user_job) && turn == 0)
+    request_cancel (user_job, node, cancel_responded);
+  else if (!user_job->accepted || (is_cancelling (user_job) && turn == 1))
+    fakes_call ("user", "POST", node, "/api/jobs", json_incref (user_job->body), 5,
+                submit_responded, user_request_new (user_job));
   else
-    fakes_call ("user", "GET", node, poll, NULL, 2, poll_responded, user_request_new (u));
+    fakes_call ("user", "GET", node, poll_path, NULL, 2, poll_responded,
+                user_request_new (user_job));
   return FALSE;
 }
 
@@ -1747,24 +1756,24 @@
 add_user_job (const char *id, const char *team, const char *priority, guint tasks, double cpus,
               double run_s, double deadline_s, SimPlacement placement)
 {
-  UserJob *u = g_new0 (UserJob, 1);
-  u->id = g_strdup (id);
-  u->team = g_strdup (team);
-  u->tasks = tasks;
-  u->cpus = cpus;
-  u->run_s = run_s;
-  u->placement = placement;
-  u->reported_state = g_strdup ("");
-  u->submitted_at = fakes.now;
-  u->completed = g_malloc0 (tasks);
-  u->body = json_pack ("{ss ss ss ss ss sI sf sf sf ss sf sn sn sb sb sb sf sf sf sf}", "Id", id,
-                       "Lane", "l", "Crew", team, "Form", "array", "Rank", priority, "Shifts",
-                       (json_int_t) tasks, "Cores", cpus, "Accelerators", 0.0, "MemGb", 1.0,
-                       "Cargo", "img", "PullGb", 0.0, "Hulls", "Harbor", "OneZone",
-                       placement == SIM_ONE_ZONE, "Apart", placement == SIM_SPREAD, "Driftwood", 1,
-                       "SailS", run_s, "MooringS", 0.0, "StowS", 0.0, "TideS", deadline_s);
-  g_hash_table_insert (fakes.jobs, u->id, u);
-  send_next_request (u);
+  UserJob *user_job = g_new0 (UserJob, 1);
+  user_job->id = g_strdup (id);
+  user_job->team = g_strdup (team);
+  user_job->tasks = tasks;
+  user_job->cpus = cpus;
+  user_job->run_s = run_s;
+  user_job->placement = placement;
+  user_job->reported_state = g_strdup ("");
+  user_job->submitted_at = fakes.now;
+  user_job->completed = g_malloc0 (tasks);
+  user_job->body = json_pack (
+      "{ss ss ss ss ss sI sf sf sf ss sf sn sn sb sb sb sf sf sf sf}", "Id", id, "Lane", "l",
+      "Crew", team, "Form", "array", "Rank", priority, "Shifts", (json_int_t) tasks, "Cores", cpus,
+      "Accelerators", 0.0, "MemGb", 1.0, "Cargo", "img", "PullGb", 0.0, "Hulls", "Harbor",
+      "OneZone", placement == SIM_ONE_ZONE, "Apart", placement == SIM_SPREAD, "Driftwood", 1,
+      "SailS", run_s, "MooringS", 0.0, "StowS", 0.0, "TideS", deadline_s);
+  g_hash_table_insert (fakes.jobs, user_job->id, user_job);
+  send_next_request (user_job);
 }
 
 void
@@ -1784,10 +1793,11 @@
 void
 sim_poll_at (const char *id, guint node)
 {
-  UserJob *u = g_hash_table_lookup (fakes.jobs, id);
+  UserJob *user_job = g_hash_table_lookup (fakes.jobs, id);
   g_autofree char *address = sim_node_address (node, SIM_CLIENT_PORT);
   g_autofree char *path = g_strdup_printf ("/api/jobs/%s", id);
-  fakes_call ("user", "GET", address, path, NULL, 5, extra_responded, user_request_new (u));
+  fakes_call ("user", "GET", address, path, NULL, 5, request_responded,
+              user_request_new (user_job));
 }
 
 void
@@ -1799,9 +1809,9 @@
 static void
 start_cancel (const char *id, const char *node)
 {
-  UserJob *u = g_hash_table_lookup (fakes.jobs, id);
-  u->cancel_requested = TRUE;
-  request_cancel (u, node, extra_responded); /* send_next_request() repeats it */
+  UserJob *user_job = g_hash_table_lookup (fakes.jobs, id);
+  user_job->cancel_requested = TRUE;
+  request_cancel (user_job, node, request_responded); /* send_next_request() repeats it */
 }
 
 void
@@ -1852,12 +1862,12 @@
 request_and_wait (guint node, guint port, const char *method, const char *path, const char *body)
 {
   g_autofree char *address = sim_node_address (node, port);
-  SyncResponse a = { FALSE, 0 };
+  SyncResponse response = { FALSE, 0 };
   fakes_call ("user", method, address, path, body ? json_loads (body, 0, NULL) : NULL, 5,
-              sync_responded, &a);
-  while (!a.done)
+              sync_responded, &response);
+  while (!response.done)
     sim_run (0.01);
-  return a.status;
+  return response.status;
 }
 
 static void
