--- a/tests/fixture.c
+++ b/tests/fixture.c
@@ -115,19 +115,19 @@
 }
 
 void
-crash_and_restart (guint node, double away_s)
+crash_and_restart (guint node, double down_s)
 {
   sim_node_kill (node);
-  sim_run (away_s);
+  sim_run (down_s);
   sim_node_start (node);
 }
 
 void
-crash_and_restart_all (guint nodes, double away_s)
+crash_and_restart_all (guint nodes, double down_s)
 {
   for (guint i = 0; i < nodes; i++)
     sim_node_kill (i);
-  sim_run (away_s);
+  sim_run (down_s);
   for (guint i = 0; i < nodes; i++)
     sim_node_start (i);
 }
--- a/tests/fixture.h
+++ b/tests/fixture.h
@@ -33,10 +33,10 @@
 /* Sets the links between every node but n0, each of which may take over n0's shard, and n0, the
  * machine and the cloud. */
 void set_successor_links (const char *machine, SimLinkState state);
-/* Kills the node, and starts it again after `away_s`. */
-void crash_and_restart (guint node, double away_s);
+/* Kills the node, and starts it again after `down_s`. */
+void crash_and_restart (guint node, double down_s);
 /* The same with the first `nodes` nodes at once. */
-void crash_and_restart_all (guint nodes, double away_s);
+void crash_and_restart_all (guint nodes, double down_s);
 /* Returns a valid submission as JSON text with one field replaced by a JSON value or (NULL)
  * removed. The caller frees it with free(). */
 char *job_json_with (const char *field, const char *value);
