--- a/tests/soak/soak.c
+++ b/tests/soak/soak.c
@@ -194,7 +194,7 @@
     sim_drop_commit_responses (4);
 }
 
-/* Writes of the shards' machine records are executed much later. */
+/* Delays the next two writes of shards' machine records by the fault's duration. */
 static void
 hold_record_writes (Fault *fault, gboolean on)
 {
@@ -339,7 +339,7 @@
     g_autofree char *node = g_strdup_printf ("n%u", i);
     sim_set_link (node, id, state);
   }
-  sim_set_link ("nodes", id, state);
+  sim_set_link ("nodes", id, state); /* sender of all commands, see sim_machine_address() */
 }
 
 static void
@@ -470,7 +470,7 @@
 
 /* --- users --------------------------------------------------------------------------- */
 /* Submits a job of one to a few tasks for the next team, and schedules the next submission. About a
- * third of the jobs is cancelled within 12 s, and each job is polled once at all nodes. */
+ * third of the jobs are cancelled within 12 s, and each job is polled once at all nodes. */
 static gboolean
 submit_job (gpointer data)
 {
