--- a/tests/test_calls.c
+++ b/tests/test_calls.c
@@ -349,7 +349,7 @@
 /* --- calls made while unused connections are closed ---------------------------------------- */
 #define IDLE_END_CLIENTS 320  /* each makes one such call */
 #define IDLE_END_LEAD_S 0.002 /* the first call is that long before the idle timeout */
-#define IDLE_END_SPAN_S 0.006 /* from the first call to the last, by their offsets to it */
+#define IDLE_END_SPAN_S 0.006 /* range of the calls' offsets from the idle timeout */
 
 typedef struct {
   KrHttpClient *client;
@@ -380,11 +380,11 @@
   g_timeout_add_full (priority, wait_ms, call_when_due, idle_client, NULL);
 }
 
-/* The failure at the head of this file without a blocked loop: calls are made from 2 ms before the
- * idle timeout to 4 ms after it, by sources that are dispatched before, among and after the timers
- * of that loop iteration. With libsoup's own idle timeout one call in fifteen was lost, or the
- * process crashed. The connection limits are those of the clients for the state service, the cloud,
- * the peers and the workers. */
+/* The failure that the head of this file describes, without a blocked loop: calls are made from
+ * 2 ms before the idle timeout to 4 ms after it, by sources that are dispatched before, among and
+ * after the timers of that loop iteration. With libsoup's own idle timeout one call in fifteen was
+ * lost, or the process crashed. The connection limits are those of the clients for the state
+ * service, the cloud, the peers and the workers. */
 static void
 test_idle_end (void)
 {
@@ -431,7 +431,7 @@
   run_for (LOOP_DELAY_MAX_S);
   g_assert_cmpuint (watch.completions, ==, 1);
   g_assert_cmpint (g_atomic_int_get (&peer->connections), <=,
-                   1); /* the watch's: its thread in the peer sleeps and does not notice */
+                   1); /* the watch's: the peer's thread sleeps and does not notice its end */
   kr_http_client_free (client);
 }
 
