--- a/tests/test_liveness.c
+++ b/tests/test_liveness.c
@@ -1,4 +1,4 @@
-/* Liveness: after faults are over, every controller serves again, and every shard has an owner that
+/* Liveness: after the faults are over, every node serves again, and every shard has an owner that
  * serves it.
  *
  * The failure: an owner that was paused while the state service had one outage after another kept
@@ -126,16 +126,16 @@
 }
 
 /* The owner is paused for less and for longer than a worker's lease (12 s), with outages of the
- * state service at several rates; then two nodes are paused at once, and a node is paused once more
- * right after it has resumed. */
+ * state service at several rates; then two nodes are paused at once, and the owner is paused once
+ * more right after it has resumed. */
 static void
 test_paused_owner (void)
 {
   const guint32 given_seed = seed;
   static const double pause_s[] = { 8, 25, 45, 56, 70 }, period_s[] = { 1.7, 2.5, 4 };
-  for (guint f = 0; f < G_N_ELEMENTS (pause_s); f++)
-    for (guint e = 0; e < G_N_ELEMENTS (period_s); e++) {
-      paused_owner (pause_s[f], period_s[e], FALSE, FALSE);
+  for (guint i = 0; i < G_N_ELEMENTS (pause_s); i++)
+    for (guint k = 0; k < G_N_ELEMENTS (period_s); k++) {
+      paused_owner (pause_s[i], period_s[k], FALSE, FALSE);
       seed++;
     }
   paused_owner (45, 2.5, TRUE, FALSE);
@@ -181,9 +181,9 @@
 test_owner_lost_during_outages (void)
 {
   static const double period_s[] = { 10, 4, 2.5, 1.7 };
-  for (guint e = 0; e < G_N_ELEMENTS (period_s); e++)
+  for (guint i = 0; i < G_N_ELEMENTS (period_s); i++)
     for (guint crashed = 0; crashed < 2; crashed++)
-      g_assert_cmpfloat (time_without_owner (period_s[e], crashed), <=, NEW_OWNER_WITHIN_S);
+      g_assert_cmpfloat (time_without_owner (period_s[i], crashed), <=, NEW_OWNER_WITHIN_S);
 }
 
 static gboolean
@@ -219,9 +219,9 @@
 test_healthy_node_unreachable (void)
 {
   static const double period_s[] = { 4, 2.5, 1.7 };
-  for (guint e = 0; e < G_N_ELEMENTS (period_s); e++) {
-    healthy_node_unreachable (period_s[e], FALSE);
-    healthy_node_unreachable (period_s[e], TRUE);
+  for (guint i = 0; i < G_N_ELEMENTS (period_s); i++) {
+    healthy_node_unreachable (period_s[i], FALSE);
+    healthy_node_unreachable (period_s[i], TRUE);
   }
 }
 
