--- a/tests/test_http.c
+++ b/tests/test_http.c
@@ -1,5 +1,5 @@
-/* The real HTTP server and client on loopback: how the server handles malformed, oversized and
- * reset requests, and what many concurrent calls cost the client. */
+/* The real HTTP server and client on loopback: how the server handles malformed and oversized
+ * requests and connections that are reset, and what many concurrent calls cost the client. */
 #include "constants.h"
 #include "http-client.h"
 #include "http-server.h"
@@ -43,19 +43,19 @@
 static gpointer
 exchange_thread (gpointer data)
 {
-  Exchange *t = data;
+  Exchange *exchange = data;
   g_autoptr (GSocketClient) client = g_socket_client_new ();
   g_autoptr (GSocketConnection) c =
       g_socket_client_connect_to_host (client, "127.0.0.1", port, NULL, NULL);
   char buffer[4096];
   gssize n;
   if (c) {
-    g_output_stream_write_all (g_io_stream_get_output_stream (G_IO_STREAM (c)), t->text, t->length,
-                               NULL, NULL, NULL);
+    g_output_stream_write_all (g_io_stream_get_output_stream (G_IO_STREAM (c)), exchange->text,
+                               exchange->length, NULL, NULL, NULL);
     while ((n = g_input_stream_read (g_io_stream_get_input_stream (G_IO_STREAM (c)), buffer,
                                      sizeof buffer, NULL, NULL)) > 0) {
-      g_string_append_len (t->response, buffer, n);
-      if (strstr (t->response->str, "\r\n\r\n"))
+      g_string_append_len (exchange->response, buffer, n);
+      if (strstr (exchange->response->str, "\r\n\r\n"))
         break;
     }
   }
@@ -65,18 +65,18 @@
 
 /* Sends raw bytes to the server. Returns the response's status, 0 if there was none. */
 static guint
-exchange (const char *text, gsize length, char **headers)
+send_raw_request (const char *text, gsize length, char **headers)
 {
-  Exchange t = { text, length, g_string_new (NULL) };
-  GThread *thread = g_thread_new ("exchange", exchange_thread, &t);
+  Exchange exchange = { text, length, g_string_new (NULL) };
+  GThread *thread = g_thread_new ("exchange", exchange_thread, &exchange);
   guint status = 0;
   g_main_loop_run (loop);
   g_thread_join (thread);
-  if (g_str_has_prefix (t.response->str, "HTTP/1.1 "))
-    status = (guint) atoi (t.response->str + strlen ("HTTP/1.1 "));
+  if (g_str_has_prefix (exchange.response->str, "HTTP/1.1 "))
+    status = (guint) atoi (exchange.response->str + strlen ("HTTP/1.1 "));
   if (headers)
-    *headers = g_strdup (t.response->str);
-  g_string_free (t.response, TRUE);
+    *headers = g_strdup (exchange.response->str);
+  g_string_free (exchange.response, TRUE);
   return status;
 }
 
@@ -86,7 +86,7 @@
   g_autoptr (GString) s = g_string_new (NULL);
   g_string_printf (s, "POST /x HTTP/1.1\r\nHost: h\r\nContent-Length: %zu\r\n\r\n", length);
   g_string_append_len (s, body, (gssize) length);
-  return exchange (s->str, s->len, headers);
+  return send_raw_request (s->str, s->len, headers);
 }
 
 static void
@@ -98,7 +98,8 @@
   g_assert_cmpuint (post ("{\"a\":", 5, NULL), ==, 400);
 }
 
-/* A body over the limit is refused without a call of the handler, and later clients are served. */
+/* A body over the limit is refused without a call of the handler. Later clients are served, and a
+ * body of exactly the limit is accepted. */
 static void
 test_large (void)
 {
@@ -127,7 +128,7 @@
     g_string_append (s, "\r\n");
   }
   g_string_append (s, "2\r\n{}\r\n0\r\n\r\n");
-  g_assert_cmpuint (exchange (s->str, s->len, NULL), ==, 413);
+  g_assert_cmpuint (send_raw_request (s->str, s->len, NULL), ==, 413);
 }
 
 /* Malformed requests are refused, and later clients are served. */
@@ -137,7 +138,7 @@
   const char *bad[] = { "GARBAGE\r\n\r\n", "POST /x\r\n\r\n", "GET http://[ HTTP/1.1\r\n\r\n",
                         "POST /x HTTP/1.1\r\nHost: h\r\nContent-Length: -1\r\n\r\n" };
   for (guint i = 0; i < G_N_ELEMENTS (bad); i++)
-    g_assert_cmpuint (exchange (bad[i], strlen (bad[i]), NULL), !=, 200);
+    g_assert_cmpuint (send_raw_request (bad[i], strlen (bad[i]), NULL), !=, 200);
   g_assert_cmpuint (post ("{}", 2, NULL), ==, 200);
 }
 
@@ -164,7 +165,7 @@
  * balancer reset a connection before the server had accepted it. Such a connection has no remote
  * address any more, and the server passed it to libsoup without one:
  * "soup_server_connection_new_for_connection: assertion 'G_IS_SOCKET_ADDRESS (remote_addr)'
- * failed". GTest makes such criticals fatal. Later clients must be served. */
+ * failed". GLib's test framework makes such criticals fatal. Later clients must be served. */
 static void
 test_reset_before_accept (void)
 {
@@ -195,7 +196,8 @@
   return (double) t.tv_sec + (double) t.tv_nsec / 1e9;
 }
 
-/* A listener that never accepts: the kernel completes connections, no request is answered. */
+/* Returns a listener that never accepts: the kernel completes the connections, but no request is
+ * answered. */
 static GSocket *
 unaccepting_listener (guint16 listener_port)
 {
